--- a/src/lead.rs
+++ b/src/lead.rs
@@ -208,9 +208,11 @@
         };
         let mut jobs: Vec<_> = view.jobs.iter().collect();
         jobs.sort_by_key(|(_, job)| job.order);
-        for (id, job) in jobs {
-            lead.enter_job(id, job, now);
-        }
+        let entered: Vec<JobIx> = jobs
+            .into_iter()
+            .filter_map(|(id, job)| lead.add_job(id, job, now))
+            .collect();
+        lead.pass_back(entered);
         lead
     }
 
@@ -236,16 +238,20 @@
 
     /// Takes in a job as stored, with whatever is known of its tasks.
     pub fn enter_job(&mut self, id: &Rc<str>, stored: &JobView, now: Time) {
-        let Some(spec) = &stored.spec else {
-            return;
-        };
+        if let Some(ix) = self.add_job(id, stored, now) {
+            self.pass_back([ix]);
+        }
+    }
+
+    fn add_job(&mut self, id: &Rc<str>, stored: &JobView, now: Time) -> Option<JobIx> {
+        let spec = stored.spec.as_ref()?;
         if self.by_id.contains_key(id) {
-            return;
+            return None;
         }
         let teams = &self.config.deployment.teams;
         let Some(team) = teams.iter().position(|t| t.name == spec.team) else {
             tracing::error!("{id}: team {} is not in the settings", spec.team);
-            return;
+            return None;
         };
         let mut job = Job::new(
             id.clone(),
@@ -316,8 +322,8 @@
         if !self.jobs[&ix].waits {
             self.note_arrival(ix);
         }
-        self.pass_back(ix);
         self.changed = true;
+        Some(ix)
     }
 
     /// All that a job waited for is stored as done. Only that lets it begin: this leader's own count is not
@@ -348,20 +354,19 @@
         }
     }
 
-    /// What a job asks for is asked of all that it needs: its priority, and its deadline less the time that it
-    /// takes itself.
-    fn pass_back(&mut self, ix: JobIx) {
-        if self.jobs[&ix].spec.waits_on.is_empty() {
-            return;
-        }
-        let asks: RefCell<&mut Lead> = RefCell::new(self);
+    /// What jobs that are not over ask for is asked of all that they need: their priority, and their deadline less
+    /// the time that they take themselves.
+    fn pass_back(&mut self, from: impl IntoIterator<Item = JobIx>) {
+        let open = |lead: &Lead, ix: &JobIx| lead.jobs[ix].ended.is_none();
+        let from: Vec<JobIx> = from.into_iter().filter(|ix| open(self, ix)).collect();
+        let lead: RefCell<&mut Lead> = RefCell::new(self);
         let needs = |ix: JobIx| -> Vec<JobIx> {
-            let lead = asks.borrow();
+            let lead = lead.borrow();
             let ids = lead.jobs[&ix].spec.waits_on.iter();
             ids.filter_map(|id| lead.job_ix(id)).collect()
         };
         let raise = |need: JobIx, by: JobIx| -> bool {
-            let mut lead = asks.borrow_mut();
+            let mut lead = lead.borrow_mut();
             let job = &lead.jobs[&by];
             let (priority, needed_by) = (job.spec.priority, lead.done_by(job) - lead.run_s(job));
             let Some(need) = lead.jobs.get_mut(&need).filter(|j| j.ended.is_none()) else {
@@ -372,10 +377,10 @@
                 Rc::make_mut(&mut need.spec).priority = priority;
             }
             need.needed_by = need.needed_by.min(needed_by);
+            lead.changed |= more;
             more
         };
-        graph::pass_back(ix, needs, raise);
-        self.changed = true;
+        graph::pass_back(from, |ix| lead.borrow().jobs[&ix].order, needs, raise);
     }
 
     /// By when a job must be done, by its own deadline and those of the jobs that need it.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -35,3 +35,5 @@
 mod scenarios;
 #[cfg(test)]
 mod testing;
+#[cfg(test)]
+mod tests;
