--- /dev/null
+++ b/src/api/tests.rs
@@ -0,0 +1,54 @@
+//! Tests of `api`.
+
+use super::*;
+
+pub(crate) const JOB: &str = r#"{"Uid":"j-000412","Jobclass":"c","Crew":"red","Shape":"group",
+    "Urgency":"urgent","Legs":4,"Cores":8.0,"Gpus":0.0,"MemoryGb":16.0,"Bundle":"img",
+    "ImageGb":1.0,"Rigs":null,"Together":true,"Apart":false,"Loaner":true,"ExpectedS":240.0,
+    "WaypointS":30.0,"StashS":4.0,"DueS":null,"More":1}"#;
+
+#[test]
+fn malformed_submissions_are_told_from_those_that_can_never_run() {
+    let good = parse_submission(JOB.as_bytes()).unwrap();
+    for (from, to) in [
+        ("\"j-000412\"", "\"x-000412\""),
+        ("\"j-000412\"", "\"j-\""),
+        ("\"j-000412\"", "\"j-1/2\""),
+        ("\"j-000412\"", "17"),
+        ("\"Legs\":4", "\"Legs\":0"),
+        ("\"Legs\":4", "\"Legs\":100001"),
+        ("\"Legs\":4", "\"Legs\":4.5"),
+        ("\"Legs\":4", "\"Legs\":-4"),
+        ("\"Cores\":8.0", "\"Cores\":-8.0"),
+        ("\"Cores\":8.0", "\"Cores\":1e999"),
+        ("\"Cores\":8.0", "\"Cores\":\"8\""),
+        ("\"Cores\":8.0,", ""),
+        ("\"group\"", "\"crowd\""),
+        ("\"Together\":true", "\"Together\":null"),
+        ("\"Rigs\":null", "\"Rigs\":\"g8\""),
+        ("{\"Uid\"", "[{\"Uid\""),
+    ] {
+        assert!(JOB.contains(from), "{from}");
+        assert!(
+            parse_submission(JOB.replacen(from, to, 1).as_bytes()).is_err(),
+            "{from} -> {to}"
+        );
+    }
+    let config = crate::config::tests::sample();
+    let types = crate::testing::types();
+    assert_eq!(never_runs(&good, &config, &types), None);
+    let wrong = |change: fn(&mut Submission)| {
+        let mut job = good.clone();
+        change(&mut job);
+        never_runs(&job, &config, &types).is_some()
+    };
+    assert!(wrong(|j| j.team = "green".into()));
+    assert!(wrong(|j| j.cpus = 1000.0));
+    assert!(wrong(|j| j.tasks = 6));
+    assert!(wrong(|j| j.zone = Some("nowhere".into())));
+    assert!(wrong(|j| j.types = Some(vec!["none".into()])));
+    assert!(!wrong(|j| {
+        j.tasks = 6;
+        j.kind = Kind::Array;
+    }));
+}
--- /dev/null
+++ b/src/config/tests.rs
@@ -0,0 +1,140 @@
+//! Tests of `config`.
+
+use super::*;
+
+pub(crate) const SAMPLE: &str = r#"
+host_name = "n0"
+domain = "north"
+front = "127.0.0.1:8080"
+cluster_listen = "127.0.0.1:8081"
+later = "unknown fields are ignored"
+[[known]]
+host_name = "n1"
+domain = "south"
+endpoint = "127.0.0.2:8081"
+[services]
+cloud = "127.0.0.9:1"
+state = "127.0.0.9:2"
+[deployment]
+count = 2
+zones = ["north", "south"]
+skew_ms = 250.0
+[[deployment.teams]]
+name = "red"
+cpus = 0.0
+cpus_max = 40.0
+gpus = 0.0
+gpus_max = 0.0
+[[deployment.teams]]
+name = "blue"
+cpus = 20.0
+[[deployment.objectives]]
+kind = "finished"
+class = "sums"
+within_s = 80.0
+share = 0.9
+[deployment.workers]
+report_s = 3.0
+lease_s = 20.0
+gang_wait_s = 50.0
+gang_peer_s = 8.0
+cancel_s = 50.0
+[deployment.state]
+rps = 100.0
+write_rps = 20.0
+value_kb = 8.0
+txn_ops = 16
+[deployment.cloud]
+rps = 2.0
+list_lag_s = 5.0
+[deployment.limits]
+cores = 0.1
+ram_mb = 64.0
+max_sockets = 1000
+"#;
+
+pub(crate) fn sample() -> Config {
+    Config::parse(SAMPLE, "sample").unwrap()
+}
+
+#[test]
+fn wrong_settings_are_named_in_one_line() {
+    assert_eq!(sample().team("red").unwrap().cpus, 0.0);
+    for (from, to, named) in [
+        ("write_rps = 20.0", "write_rps = 0.0", "write_rps"),
+        ("lease_s = 20.0", "lease_s = -1.0", "lease_s"),
+        ("lease_s = 20.0", "lease_s = nan", "lease_s"),
+        // So short that no safe leader's lease fits.
+        ("lease_s = 20.0", "lease_s = 0.2", "leader's lease"),
+        ("share = 0.9", "times = -1.0", "objectives.times"),
+        ("report_s = 3.0", "report_s = inf", "report_s"),
+        ("127.0.0.9:1", "nowhere", "line 12"),
+        ("cpus = 20.0", "cpus = -20.0", "teams.blue.cpus"),
+        ("cancel_s = 50.0", "cancel_s = 21.0", "cancel_s"),
+        ("rps = 2.0", "rps = = 2.0", "line"),
+        ("txn_ops = 16", "", "txn_ops"),
+        (
+            "[deployment.cloud]",
+            "[deployment.state.next]\nvalue_kb = 0.0\n[deployment.cloud]",
+            "state.next.value_kb",
+        ),
+        (
+            "[deployment.cloud]",
+            "[deployment.state.next]\ntxn_ops = 0\n[deployment.cloud]",
+            "state.next.txn_ops",
+        ),
+    ] {
+        let text = SAMPLE.replacen(from, to, 1);
+        let error = Config::parse(&text, "file").unwrap_err().to_string();
+        assert!(error.contains(named), "{error}");
+        assert!(!error.contains('\n'), "{error}");
+    }
+}
+
+#[test]
+fn settings_of_other_shapes_are_taken() {
+    let end = |from: &str| SAMPLE.find(from).unwrap();
+    let teams = end("[[deployment.teams]]")..end("[[deployment.objectives]]");
+    let objectives = end("[[deployment.objectives]]")..end("[deployment.workers]");
+    let peer = end("[[known]]")..end("[services]");
+    for cut in [teams, objectives, peer] {
+        let mut text = SAMPLE.to_owned();
+        text.replace_range(cut, "");
+        Config::parse(&text, "file").unwrap();
+    }
+    for (from, to) in [
+        ("count = 2", "count = 9"),
+        ("zones = [\"north\", \"south\"]", "zones = []"),
+        ("cpus = 20.0", "gpus_max = 1.5"),
+        ("write_rps = 20.0", "write_rps = 0.5"),
+        ("txn_ops = 16", "txn_ops = 1"),
+        ("max_sockets = 1000", "max_sockets = 16"),
+        ("max_sockets = 1000", "max_sockets = 100000"),
+        ("cores = 0.1", "cores = 4.0"),
+    ] {
+        assert!(SAMPLE.contains(from), "{from}");
+        Config::parse(&SAMPLE.replacen(from, to, 1), "file").unwrap();
+    }
+}
+
+#[test]
+fn scripts_set_tunables_only_and_are_bounded() {
+    let t = Tunables::from_script("return { rho = 0.1 * 3, weights = { high = 5 } }").unwrap();
+    assert!((t.rho - 0.3).abs() < 1e-9);
+    assert_eq!(t.weights, [1.0, 2.0, 5.0, 8.0]);
+    for bad in [
+        "return { rho = 0.6 }",
+        "return { rho = 0/0 }",
+        "return { weights = { low = 2 } }",
+        "return { colour = 1 }",
+        "return 3",
+        "while true do end",
+        "local t = {} for i = 1, 1e9 do t[i] = i end return t",
+        "return io.open('/etc/hostname')",
+        "return load('return {}')()",
+        "error('no')",
+    ] {
+        let error = Tunables::from_script(bad).unwrap_err().to_string();
+        assert!(!error.contains('\n'), "{error}");
+    }
+}
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -122,6 +122,9 @@
     pub seq: u64,
     /// Highest token its worker has shown.
     pub token: u64,
+    /// The latest session in which its worker is known to have seen this leader's token: no former leader's launch was
+    /// carried out after that.
+    fenced_session: Option<u64>,
     /// When this tenure last learnt something new from it, by a report or a direct message.
     pub heard: Option<Time>,
     /// When it last reported something new by itself: only that renews its worker's lease.
@@ -196,6 +199,7 @@
             session: 0,
             seq: 0,
             token: 0,
+            fenced_session: None,
             heard: None,
             reported: None,
             met: None,
@@ -452,6 +456,9 @@
         }
         m.notice = report.notice_s.map(|s| now + s);
         let fenced = report.token >= self.token;
+        if fenced {
+            m.fenced_session = m.fenced_session.max(Some(report.session));
+        }
 
         let mut seen = HashSet::with_capacity(report.tasks.len());
         let mut commands = Vec::new();
@@ -541,8 +548,12 @@
         (w.report_s * self.config.tunables.silent_reports).min(left)
     }
 
-    /// A worker has seen our token in a session: if that is later than all that is known of it, what
-    /// was on it before is gone, and what was sent to it before is refused.
+    /// A worker has seen our token in a session. If it had seen it in an earlier one already, all that was placed
+    /// there before is gone, and what was sent to it before is refused.
+    ///
+    /// Else nothing follows: what a former leader placed may be in that very session. A new leader that knew machines
+    /// behind a cut from the log alone once took their first session for a later one, and started all of their tasks
+    /// elsewhere.
     pub(crate) fn on_session(&mut self, machine: &str, session: u64, now: Time) {
         let Some(ix) = self.fleet.find(machine) else {
             return;
@@ -550,7 +561,9 @@
         let Some(m) = self.fleet.machines.get_mut(&ix) else {
             return;
         };
-        if session <= m.session {
+        let earlier = m.fenced_session;
+        m.fenced_session = earlier.max(Some(session));
+        if earlier.is_none_or(|earlier| session <= earlier) || session <= m.session {
             return;
         }
         m.session = session;
--- /dev/null
+++ b/src/http/tests.rs
@@ -0,0 +1,118 @@
+//! Tests of `http`.
+
+use super::*;
+
+#[test]
+fn request_heads_are_bounded_and_strict() {
+    assert!(parse_request_head(b"GET /ready HTTP/1.1\r\nHo").is_ok_and(|h| h.is_none()));
+    let head = parse_request_head(b"POST /x HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc")
+        .unwrap()
+        .unwrap();
+    assert_eq!(head.framing, Framing::Length(3));
+    let two = b"POST /x HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n";
+    assert_eq!(parse_request_head(two).err(), Some(Bad::Malformed));
+    let negative = b"POST /x HTTP/1.1\r\nContent-Length: -3\r\n\r\n";
+    assert_eq!(parse_request_head(negative).err(), Some(Bad::Malformed));
+    let both = b"POST /x HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n";
+    assert_eq!(parse_request_head(both).err(), Some(Bad::Malformed));
+    let long = format!("GET /{} HTTP/1.1\r\n", "a".repeat(HEAD_MAX));
+    assert_eq!(
+        parse_request_head(long.as_bytes()).err(),
+        Some(Bad::HeadTooLarge)
+    );
+}
+
+#[test]
+fn chunked_bodies_are_taken_whole_or_refused() {
+    let whole = b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\nrest";
+    let (body, used) = take_chunked(whole, 100).unwrap().unwrap();
+    assert_eq!((body.as_slice(), used), (&b"abcde"[..], whole.len() - 4));
+    assert_eq!(take_chunked(&whole[..10], 100), Ok(None));
+    assert_eq!(take_chunked(whole, 4), Err(Bad::BodyTooLarge));
+    assert_eq!(
+        take_chunked(b"ffffffffffffff\r\n", 4),
+        Err(Bad::BodyTooLarge)
+    );
+}
+
+const ASK: &[u8] = b"GET /x HTTP/1.1\r\n\r\n";
+
+async fn exchange(stream: &mut Stream) -> String {
+    stream.write_all(ASK).await.unwrap();
+    let mut buf = Vec::new();
+    while !buf.ends_with(b"{}") && fill(stream, &mut buf).await.unwrap() {}
+    String::from_utf8(buf).unwrap()
+}
+
+/// Serves up to `connections` and lets `clients` loose on them.
+fn with_server<F: Future<Output = ()> + 'static>(
+    connections: usize,
+    rest_s: f64,
+    clients: impl FnOnce(Rt, SocketAddr) -> F,
+) {
+    let finished = Rc::new(Cell::new(false));
+    let end = finished.clone();
+    Rt::run::<calloop::Error>(move |rt| {
+        let mut listener = rt.listen("127.0.0.1:0".parse().unwrap()).unwrap();
+        let addr = listener.addr().unwrap();
+        let limits = ServerLimits {
+            connections,
+            request_s: 60.0,
+            idle_s: 60.0,
+            rest_s,
+        };
+        let handler: Handler =
+            Rc::new(|_| Box::pin(async { Response::json(200, &serde_json::json!({})) }));
+        let root = Scope::new(rt);
+        root.spawn(serve(rt.clone(), listener, limits, handler));
+        let (rt, clients) = (rt.clone(), clients(rt.clone(), addr));
+        root.spawn(async move {
+            clients.await;
+            end.set(true);
+            rt.stop();
+        });
+        Ok(root)
+    })
+    .unwrap();
+    assert!(finished.get());
+}
+
+/// A leader may have more workers than sockets: none of them is kept out by those that came first.
+#[test]
+fn many_more_clients_than_connections_are_all_served() {
+    with_server(4, 1e9, |rt, addr| async move {
+        let mut kept = Vec::new();
+        let mut closed = 0;
+        for _ in 0..40 {
+            let mut stream = rt.connect(addr).await.unwrap();
+            let answer = exchange(&mut stream).await;
+            assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+            closed += usize::from(answer.contains("Connection: close"));
+            kept.push(stream);
+        }
+        assert_eq!(closed, 37);
+    });
+}
+
+/// Connections at rest once kept others out for minutes.
+#[test]
+fn a_connection_that_rests_too_long_makes_way_and_others_do_not() {
+    for (rest_s, status) in [(0.0, "HTTP/1.1 200"), (1e9, "HTTP/1.1 503")] {
+        with_server(5, rest_s, move |rt, addr| async move {
+            let mut resting = Vec::new();
+            for _ in 0..4 {
+                let mut stream = rt.connect(addr).await.unwrap();
+                exchange(&mut stream).await;
+                resting.push(stream);
+            }
+            let _fifth = rt.connect(addr).await.unwrap();
+            let mut sixth = rt.connect(addr).await.unwrap();
+            let answer = exchange(&mut sixth).await;
+            assert!(answer.starts_with(status), "{answer}");
+            assert_eq!(answer.contains("Retry-After"), rest_s > 0.0);
+            // The one that has rested longest was ended, and no other.
+            assert_eq!(resting[0].is_quiet(), rest_s > 0.0);
+            assert!(resting[1..].iter_mut().all(Stream::is_quiet));
+        });
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -29,10 +29,6 @@
 pub mod wire;
 pub(crate) mod zones;
 
-#[cfg(test)]
-mod chaos;
-#[cfg(test)]
-mod scenarios;
 #[cfg(test)]
 mod testing;
 #[cfg(test)]
--- a/src/node.rs
+++ b/src/node.rs
@@ -5,7 +5,7 @@
 mod leading;
 mod reports;
 pub(crate) mod standin;
-mod users;
+pub(crate) mod users;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -366,13 +366,5 @@
     }
 }
 
-#[cfg(test)]
-mod chains;
-#[cfg(test)]
-mod meetings;
-#[cfg(test)]
-mod seeded;
 #[cfg(test)]
 mod tests;
-#[cfg(test)]
-mod world;
--- a/src/node/chains.rs
+++ b/src/node/tests/chains.rs
@@ -5,7 +5,7 @@
 use super::world::{NODES, World, play};
 use crate::config::{Config, NextStateLimits};
 use crate::testing::job;
-use crate::view::{EndRecord, JobRecord, JobView, LogRecord, View, key};
+use crate::view::key;
 use crate::wire::{JobState, Kind, Priority, Submission};
 
 fn chained(id: &str, tasks: u32, run_s: f64, waits_on: &[&str]) -> Submission {
@@ -404,101 +404,6 @@
     });
 }
 
-// ---- old and new versions on each other's data
-
-/// What the version in production stores, as it writes it.
-const OLD_JOB: &str = r#"{"Uid":"j-1","Jobclass":"sums","Crew":"blue","Shape":"batch","Urgency":"normal","Legs":2,"Cores":2.0,"Gpus":0.0,"MemoryGb":4.0,"Bundle":"img","ImageGb":1.0,"Together":false,"Apart":false,"Loaner":false,"ExpectedS":30.0,"WaypointS":0.0,"StashS":0.0,"DueS":90.0}"#;
-const OLD_END: &str = r#"{"end":"done","done":2}"#;
-const OLD_LOG: &str =
-    r#"{"o":9,"z":["north"],"m":[["i-1",0]],"j":[{"i":"j-1","a":7,"b":[[0,1,0]],"d":[[1,1]]}]}"#;
-
-#[test]
-fn what_production_stored_is_read() {
-    let raw = |text: &str| serde_json::value::RawValue::from_string(text.into()).unwrap();
-    let mut view = View::default();
-    view.apply(&key::job("j-1"), Some(&raw(OLD_JOB)), 3);
-    view.apply(&key::run(9), Some(&raw(OLD_LOG)), 4);
-    view.complete(50.0, 1_796_000_000_000);
-    let known = &view.jobs["j-1"];
-    let status = known.status("j-1");
-    assert_eq!(
-        (status.state, status.done, status.running),
-        (JobState::Running, 1, 1)
-    );
-    // It has no time of its own: the age is not known, as before.
-    assert_eq!((known.seen, known.waits), (None, false));
-    view.apply(&key::end("j-1"), Some(&raw(OLD_END)), 5);
-    assert_eq!(view.jobs["j-1"].status("j-1").state, JobState::Done);
-    serde_json::from_str::<LogRecord>(OLD_LOG).unwrap();
-}
-
-/// The record types of the version in production, copied from it.
-mod production {
-    use serde::Deserialize;
-
-    #[derive(Deserialize)]
-    pub struct Job {
-        #[serde(rename = "Uid")]
-        pub id: String,
-        #[serde(rename = "Legs")]
-        pub tasks: u32,
-        #[serde(rename = "DueS", default)]
-        pub deadline_s: Option<f64>,
-    }
-
-    #[derive(Deserialize, PartialEq, Debug)]
-    pub enum End {
-        #[serde(rename = "done")]
-        Done,
-        #[serde(rename = "aborted")]
-        Cancelled,
-    }
-
-    #[derive(Deserialize)]
-    pub struct EndRecord {
-        pub end: End,
-        pub done: u32,
-    }
-}
-
-#[test]
-fn what_is_stored_now_is_read_by_production() {
-    let mut spec = chained("j-7", 3, 5.0, &["j-1"]);
-    spec.deadline_s = Some(9.5);
-    let record = JobRecord {
-        spec,
-        at_ms: Some(1_796_000_000_000),
-        parts: 0,
-    };
-    let text = serde_json::to_string(&record).unwrap();
-    let read: production::Job = serde_json::from_str(&text).unwrap();
-    assert_eq!(
-        (&*read.id, read.tasks, read.deadline_s),
-        ("j-7", 3, Some(9.5))
-    );
-    // What waits on nothing is stored as before, but for the time.
-    let plain = JobRecord {
-        spec: serde_json::from_str(OLD_JOB).unwrap(),
-        at_ms: None,
-        parts: 0,
-    };
-    assert_eq!(serde_json::to_string(&plain).unwrap(), OLD_JOB);
-    for (end, known) in [
-        (crate::view::End::Done, production::End::Done),
-        (crate::view::End::Cancelled, production::End::Cancelled),
-    ] {
-        let record = EndRecord {
-            end,
-            done: 4,
-            at_ms: Some(1_796_000_000_000),
-        };
-        let text = serde_json::to_string(&record).unwrap();
-        let read: production::EndRecord = serde_json::from_str(&text).unwrap();
-        assert_eq!((read.end, read.done), (known, 4));
-    }
-    assert!(!JobView::default().waits);
-}
-
 #[test]
 fn the_smaller_limits_of_now_and_later_are_kept() {
     let mut config = crate::config::tests::sample();
--- /dev/null
+++ b/src/node/tests/requests.rs
@@ -0,0 +1,330 @@
+//! The routines against scripted peers on loopback.
+
+use crate::election::Tenure;
+use crate::http::{Request, Response};
+use crate::node::*;
+use crate::testing::{job, types};
+use crate::view::key;
+use crate::wire;
+
+pub(in crate::node) const LIMITS: ServerLimits = ServerLimits {
+    connections: 16,
+    request_s: 5.0,
+    idle_s: 60.0,
+    rest_s: 30.0,
+};
+
+pub(in crate::node) fn answer(status: u16, text: String) -> Response {
+    Response {
+        status,
+        body: text.into_bytes(),
+        retry_after: None,
+    }
+}
+
+/// A state service on loopback that shows a job, and its end only to a watch that is answered
+/// after the store's revision was asked for. Asked for the revision in an outage, it refuses.
+fn scripted_store(rt: &Rt, outage: Rc<Cell<bool>>) -> (SocketAddr, Scope) {
+    let mut listener = rt.listen("127.0.0.1:0".parse().unwrap()).unwrap();
+    let addr = listener.addr().unwrap();
+    let asked = Rc::new(Signal::default());
+    let rt2 = rt.clone();
+    let handler = Rc::new(move |request: Request| {
+        let (asked, rt, outage) = (asked.clone(), rt2.clone(), outage.clone());
+        Box::pin(async move {
+            let path = request.path;
+            if outage.get() {
+                return answer(503, "{}".into());
+            }
+            if path.starts_with("/keys?") {
+                let spec = serde_json::to_string(&job("j-1", 1)).unwrap();
+                let types = serde_json::to_string(&types()).unwrap();
+                return answer(
+                    200,
+                    format!(
+                        r#"{{"Pairs":[{{"K":"{}","V":{spec},"Stamp":4}},
+                        {{"K":"{}","V":{types},"Stamp":5}}],"Truncated":false,"Epoch":5}}"#,
+                        key::job("j-1"),
+                        key::types()
+                    ),
+                );
+            }
+            if path.ends_with(&key::nothing()) {
+                asked.set();
+                return answer(404, r#"{"Epoch":7}"#.into());
+            }
+            if path.contains("After=5&") {
+                asked.raised().await;
+                return answer(
+                    200,
+                    format!(
+                        r#"{{"Epoch":7,"News":[{{"Put":"{}","V":{{"end":"done","done":1}},"Stamp":7}}]}}"#,
+                        key::end("j-1")
+                    ),
+                );
+            }
+            // A watch for what never comes.
+            rt.sleep(WATCH_S).await;
+            answer(503, "{}".into())
+        }) as _
+    });
+    let scope = Scope::new(rt);
+    scope.spawn(serve(rt.clone(), listener, LIMITS, handler));
+    (addr, scope)
+}
+
+/// 0.6 of the sockets were once for workers and users: not enough for a far larger fleet.
+#[test]
+fn sockets_reach_for_all_workers_and_for_what_the_node_opens_itself() {
+    for (sockets, workers) in [(2068, 1934), (3674, 3133), (1200, 600), (16, 7)] {
+        let mut config = crate::config::tests::sample();
+        config.peers = vec![config.peers[0].clone(); 4];
+        config.deployment.limits.max_sockets = sockets;
+        let front = front_sockets(&config);
+        assert!(ServerLimits::connections_within(front) >= workers);
+        let own = USER_WRITES_MAX + directs_max(&config) + 4 * (cluster::LINKS_PER_PEER + 1);
+        assert!(sockets < 100 || front + own + SPARE_SOCKETS <= sockets);
+    }
+}
+
+/// All workers of a large fleet in one greeting were more than a frame may hold: the links broke
+/// at each.
+#[test]
+fn greetings_tell_of_a_large_fleet_in_turn() {
+    Rt::run::<calloop::Error>(|rt| {
+        let node = Node::new(rt, Rc::new(crate::config::tests::sample()));
+        for i in 0..600 {
+            let worker = WorkerSeen {
+                machine: format!("i-{i:06}"),
+                zone: "north".into(),
+                addr: "127.0.0.1:9".into(),
+                session: 1,
+            };
+            let seen = Seen {
+                at: node.now(),
+                redirected: None,
+                astray: None,
+                worker: worker.clone(),
+            };
+            node.seen.borrow_mut().insert(worker.machine, seen);
+        }
+        let mut told = String::new();
+        let mut all = std::collections::BTreeSet::new();
+        for _ in 0..3 {
+            let greeting = node.greeting(&mut told);
+            assert!(greeting.workers.len() <= cluster::WORKERS_TOLD);
+            all.extend(greeting.workers.into_iter().map(|w| w.machine));
+        }
+        assert_eq!(all.len(), 600);
+        rt.stop();
+        Ok(Scope::new(rt))
+    })
+    .unwrap();
+}
+
+/// A process that ended while it stood for election may be elected after it has ended.
+#[test]
+fn an_office_given_to_a_former_process_of_this_host_is_ended() {
+    let ended = Rc::new(Cell::new(false));
+    let seen = ended.clone();
+    Rt::run::<calloop::Error>(move |rt| {
+        let mut listener = rt.listen("127.0.0.1:0".parse().unwrap()).unwrap();
+        let mut config = crate::config::tests::sample();
+        config.services.state = listener.addr().unwrap();
+        let record = crate::view::LeaderRecord {
+            host: config.node.clone(),
+            incarnation: 1,
+        };
+        let value = serde_json::to_string(&record).unwrap();
+        let stored = format!(
+            r#"{{"K":"{}","V":{value},"Stamp":9,"Permit":5}}"#,
+            key::leader()
+        );
+        let pair = stored.clone();
+        let (rt2, ended) = (rt.clone(), ended.clone());
+        let started = Rc::new(Cell::new(false));
+        let handler = Rc::new(move |request: Request| {
+            let (rt, ended, started) = (rt2.clone(), ended.clone(), started.clone());
+            let (stored, pair) = (stored.clone(), pair.clone());
+            Box::pin(async move {
+                let path = request.path.as_str();
+                if request.method == "DELETE" && path.ends_with("/5") {
+                    ended.set(true);
+                    rt.stop();
+                }
+                if path.starts_with("/keys?") {
+                    // The office was vacant when this process began and read the store.
+                    started.set(true);
+                    return answer(200, r#"{"Pairs":[],"Truncated":false,"Epoch":5}"#.into());
+                }
+                if path.ends_with(&key::leader()) {
+                    return match started.get() {
+                        true => answer(200, stored),
+                        false => answer(404, r#"{"Epoch":4}"#.into()),
+                    };
+                }
+                if path.contains("After=5&") {
+                    let put = pair.replacen("\"K\"", "\"Put\"", 1);
+                    return answer(200, format!(r#"{{"Epoch":9,"News":[{put}]}}"#));
+                }
+                rt.sleep(WATCH_S).await;
+                answer(503, "{}".into())
+            }) as _
+        });
+        let root = Scope::new(rt);
+        root.spawn(serve(rt.clone(), listener, LIMITS, handler));
+        let node = Rc::new(Node::new(rt, Rc::new(config)));
+        root.spawn(node.clone().follow_duty());
+        root.spawn(node.clone().election_duty());
+        Ok(root)
+    })
+    .unwrap();
+    assert!(seen.get());
+}
+
+/// Cut off from the state service and the other controllers, but not from workers and users.
+#[test]
+fn a_node_that_is_cut_off_serves_nobody_and_names_nobody_new() {
+    let finished = Rc::new(Cell::new(false));
+    let end = finished.clone();
+    Rt::run::<calloop::Error>(move |rt| {
+        // A state service that refuses everything.
+        let mut listener = rt.listen("127.0.0.1:0".parse().unwrap()).unwrap();
+        let mut config = crate::config::tests::sample();
+        config.services.state = listener.addr().unwrap();
+        let handler = Rc::new(|_| Box::pin(async { Response::later(503, "no", 1) }) as _);
+        let root = Scope::new(rt);
+        root.spawn(serve(rt.clone(), listener, LIMITS, handler));
+        let node = Rc::new(Node::new(rt, Rc::new(config)));
+        let rt = rt.clone();
+        root.spawn(node.clone().barrier_duty());
+        root.spawn(async move {
+            // It led once; its lease is not trusted any more.
+            node.loaded.set(true);
+            let host = node.config.node.clone();
+            {
+                let mut view = node.view.borrow_mut();
+                view.types = Some(Rc::new(types()));
+                let incarnation = node.incarnation;
+                view.leader = Some((crate::view::LeaderRecord { host, incarnation }, 7));
+            }
+            node.tenure.set(Some(Tenure {
+                token: 7,
+                lease: 1,
+                renewed: f64::NEG_INFINITY,
+            }));
+            let mut worker = crate::testing::FakeWorker::new("i-1", "small", "north");
+            let report = serde_json::to_vec(&worker.next()).unwrap();
+            let told = node.report(&report).await;
+            assert_eq!(told.status, 503, "{}", String::from_utf8_lossy(&told.body));
+            assert_eq!(node.ready().status, 503);
+            assert_eq!(node.query("j-1").await.status, 503);
+            let asked = serde_json::to_vec(&job("j-1", 1)).unwrap();
+            let answer = node.submit(&asked).await;
+            assert_eq!(answer.status, 503);
+            assert!(answer.retry_after.is_some());
+            end.set(true);
+            rt.stop();
+        });
+        Ok(root)
+    })
+    .unwrap();
+    assert!(finished.get());
+}
+
+fn status_of(answer: &Response) -> (u16, String) {
+    let value: serde_json::Value = serde_json::from_slice(&answer.body).unwrap();
+    let state = value["Status"].as_str().unwrap_or_default().to_owned();
+    (answer.status, state)
+}
+
+/// A poll on a follower straight after another node said "done" must not show anything older.
+#[test]
+fn a_follower_answers_only_what_is_as_new_as_the_question() {
+    let finished = Rc::new(Cell::new(false));
+    let end = finished.clone();
+    Rt::run::<calloop::Error>(move |rt| {
+        let outage = Rc::new(Cell::new(false));
+        let (addr, peers) = scripted_store(rt, outage.clone());
+        let mut config = crate::config::tests::sample();
+        config.services.state = addr;
+        let node = Rc::new(Node::new(rt, Rc::new(config)));
+        let root = Scope::new(rt);
+        let rt = rt.clone();
+        root.spawn(node.clone().follow_duty());
+        root.spawn(node.clone().barrier_duty());
+        root.spawn(async move {
+            let _peers = peers;
+            while !node.loaded.get() {
+                node.moved.next().await;
+            }
+            // The view shows a job that waits; nobody is told so.
+            let seen = node.view.borrow().jobs["j-1"].status("j-1").state;
+            assert_eq!(seen, wire::JobState::Queued);
+            assert_eq!(
+                status_of(&node.query("j-1").await),
+                (200, "done".to_owned())
+            );
+            assert_eq!(node.query("j-2").await.status, 404);
+            let resubmitted = serde_json::to_vec(&job("j-1", 1)).unwrap();
+            let again = node.submit(&resubmitted).await;
+            assert_eq!(status_of(&again), (200, "done".to_owned()));
+            // When the store can't be asked, nothing is known but what is final.
+            outage.set(true);
+            assert_eq!(node.query("j-2").await.status, 503);
+            assert_eq!(node.query("j-1").await.status, 200);
+            // Once it can, all questions are answered again.
+            outage.set(false);
+            assert_eq!(node.query("j-2").await.status, 404);
+            end.set(true);
+            rt.stop();
+        });
+        Ok(root)
+    })
+    .unwrap();
+    assert!(finished.get());
+}
+
+/// Jobs that ended kept a round writing for as long as more of them came: for ten seconds nothing was
+/// placed.
+#[test]
+fn a_round_ends_however_much_there_is_to_write() {
+    let written = Rc::new(Cell::new(0));
+    let count = written.clone();
+    Rt::run::<calloop::Error>(move |rt| {
+        let mut listener = rt.listen("127.0.0.1:0".parse().unwrap()).unwrap();
+        let mut config = crate::config::tests::sample();
+        config.services.state = listener.addr().unwrap();
+        let state = &mut config.deployment.state;
+        (state.rps, state.write_rps) = (1e6, 1e6);
+        let handler = Rc::new(move |_: Request| {
+            count.set(count.get() + 1);
+            Box::pin(async { answer(200, r#"{"Epoch":300}"#.into()) }) as _
+        });
+        let root = Scope::new(rt);
+        root.spawn(serve(rt.clone(), listener, LIMITS, handler));
+        let mut store = crate::testing::FakeStore::default();
+        for i in 0..200 {
+            store.submit(&job(&format!("j-{i}"), 1));
+        }
+        let mut lead = store.elect_with(config.clone(), "n0", rt.now());
+        lead.end_all();
+        let node = Rc::new(Node::new(rt, Rc::new(config)));
+        node.tenure.set(Some(Tenure {
+            token: lead.token,
+            lease: 1,
+            renewed: f64::INFINITY,
+        }));
+        node.view_was_current(f64::INFINITY);
+        let token = lead.token;
+        *node.lead.borrow_mut() = Some(lead);
+        let rt = rt.clone();
+        root.spawn(async move {
+            node.write(token).await;
+            rt.stop();
+        });
+        Ok(root)
+    })
+    .unwrap();
+    assert_eq!(written.get(), WRITES_MAX);
+}
--- a/src/node/world.rs
+++ b/src/node/tests/world.rs
@@ -4,6 +4,7 @@
 
 mod checks;
 mod cloud;
+mod gangs;
 mod state;
 mod users;
 mod workers;
@@ -13,13 +14,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use super::{Node, start};
 use crate::config::{Config, Peer};
 use crate::http::{Handler, ServerLimits, serve};
+use crate::node::{Node, start};
 use crate::rt::{Rt, Scope, Time};
 
 pub use checks::Checks;
 pub use cloud::Cloud;
+use gangs::Gangs;
 pub use state::State;
 pub use workers::Worker;
 
@@ -54,6 +56,7 @@
     pub state: Rc<State>,
     pub cloud: Rc<Cloud>,
     pub checks: Rc<Checks>,
+    gangs: Gangs,
     pub workers: RefCell<BTreeMap<String, Rc<Worker>>>,
     nodes: RefCell<Vec<Option<Process>>>,
     /// This zone and the others can't reach each other until then.
@@ -101,6 +104,7 @@
             state,
             cloud,
             checks,
+            gangs: Gangs::default(),
             workers: RefCell::default(),
             nodes: RefCell::new((0..NODES).map(|_| None).collect()),
             cut: Cell::new(("", 0.0)),
@@ -111,6 +115,7 @@
         world.services.spawn(async move {
             loop {
                 watch.rt.sleep(TICK_S).await;
+                watch.step_gangs();
                 watch.checks.look(watch.rt.now(), &watch.workers.borrow());
             }
         });
--- /dev/null
+++ b/src/node/tests/world/gangs.rs
@@ -0,0 +1,151 @@
+//! Gangs as the protocol has them: the tasks of an attempt find each other, start together, complete together, and
+//! end when one of them is gone.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+use super::{Worker, World};
+use crate::lead::split_task;
+use crate::rt::Time;
+use crate::wire::{Kind, TaskState, Why};
+
+/// An attempt of a gang: its job and the number of the attempt.
+type Attempt = (String, u64);
+
+/// What is known of an attempt beyond the states of its tasks.
+#[derive(Default)]
+struct Progress {
+    /// When all its tasks began to run.
+    started: Option<Time>,
+    /// When its first task was placed.
+    waiting_since: Option<Time>,
+    /// When a task was first missed after the start.
+    broken_at: Option<Time>,
+}
+
+/// The attempts that were ever placed.
+#[derive(Default)]
+pub struct Gangs {
+    attempts: RefCell<BTreeMap<Attempt, Progress>>,
+}
+
+/// A task of an attempt on a worker.
+struct Member {
+    worker: Rc<Worker>,
+    task: String,
+    state: TaskState,
+    done: bool,
+}
+
+impl Gangs {
+    /// A task has its image, and waits for the others of its attempt.
+    pub fn wait_for_others(&self, w: &Worker, task: &str, attempt: u64) {
+        set_state(w, task, attempt, TaskState::Waiting, None);
+        let (id, _) = split_task(task).unwrap();
+        let mut attempts = self.attempts.borrow_mut();
+        let progress = attempts.entry((id.to_owned(), attempt)).or_default();
+        progress.waiting_since.get_or_insert(w.now());
+    }
+}
+
+fn set_state(w: &Worker, task: &str, attempt: u64, state: TaskState, why: Option<Why>) {
+    let mut fake = w.fake.borrow_mut();
+    let tasks = fake.report.tasks.iter_mut();
+    for t in tasks.filter(|t| t.task == task && t.attempt == attempt) {
+        t.state = state;
+        t.why = why;
+    }
+}
+
+impl World {
+    /// Lets gangs start, complete and break up.
+    pub(super) fn step_gangs(&self) {
+        let mut members = self.gang_members();
+        let mut attempts = self.gangs.attempts.borrow_mut();
+        attempts.retain(|attempt, _| members.contains_key(attempt));
+        for (attempt, progress) in attempts.iter_mut() {
+            let members = members.remove(attempt).unwrap_or_default();
+            self.step_gang(attempt, progress, &members);
+        }
+    }
+
+    /// The tasks that are on machines, or completed there, by their attempts.
+    fn gang_members(&self) -> BTreeMap<Attempt, Vec<Member>> {
+        let mut members: BTreeMap<Attempt, Vec<Member>> = BTreeMap::new();
+        for worker in self.all_workers() {
+            let live = worker.live();
+            let exited = worker.exited_done();
+            for t in live.iter().chain(&exited) {
+                let (id, _) = split_task(&t.task).unwrap();
+                if self.checks.spec(&t.task).kind != Kind::Gang {
+                    continue;
+                }
+                let member = Member {
+                    worker: worker.clone(),
+                    task: t.task.clone(),
+                    state: t.state,
+                    done: t.state == TaskState::Exited,
+                };
+                let attempt = (id.to_owned(), t.attempt);
+                members.entry(attempt).or_default().push(member);
+            }
+        }
+        members
+    }
+
+    fn step_gang(&self, attempt: &Attempt, progress: &mut Progress, members: &[Member]) {
+        let now = self.now();
+        let w = &self.config.deployment.workers;
+        let spec = self.checks.spec(&members[0].task);
+        if members.iter().any(|m| m.done) {
+            // If one task is done, so are all.
+            for task in 0..spec.tasks {
+                self.checks.completed(&format!("{}/{task}", spec.id));
+            }
+            self.exit_all(attempt, members, Why::Done);
+            return;
+        }
+        let complete = members.len() == spec.tasks as usize;
+        let able = members.iter().all(|m| !m.worker.hangs(now));
+        if progress.started.is_none() {
+            let waiting = members.iter().all(|m| m.state == TaskState::Waiting);
+            if complete && able && waiting {
+                progress.started = Some(now);
+                self.start_gang(attempt, members);
+            } else if progress
+                .waiting_since
+                .is_some_and(|since| now - since > w.gang_wait_s)
+            {
+                self.exit_all(attempt, members, Why::Alone);
+            }
+        } else if complete && able {
+            progress.broken_at = None;
+        } else {
+            let since = *progress.broken_at.get_or_insert(now);
+            if now - since > w.gang_peer_s / 2.0 {
+                self.exit_all(attempt, members, Why::Peers);
+            }
+        }
+    }
+
+    fn start_gang(&self, attempt: &Attempt, members: &[Member]) {
+        let now = self.now();
+        for m in members {
+            set_state(&m.worker, &m.task, attempt.1, TaskState::Running, None);
+            let ends = now + self.checks.runs_s(&m.task);
+            let mut all = m.worker.ends.borrow_mut();
+            all.insert((m.task.clone(), attempt.1), ends);
+            m.worker.report_change(now);
+        }
+    }
+
+    /// All tasks of an attempt exit, but for those on machines that hang.
+    fn exit_all(&self, attempt: &Attempt, members: &[Member], why: Why) {
+        let now = self.now();
+        for m in members.iter().filter(|m| !m.done && !m.worker.hangs(now)) {
+            set_state(&m.worker, &m.task, attempt.1, TaskState::Exited, Some(why));
+            m.worker.report_change(now);
+        }
+    }
+}
--- a/src/node/world/state.rs
+++ b/src/node/tests/world/state.rs
@@ -14,6 +14,7 @@
 use crate::lead::TxnOutcome;
 use crate::rt::{Pulse, Rt, Scope, Time};
 use crate::testing::FakeStore;
+use crate::tests::production::{self, Read};
 use crate::view::{LeaderRecord, key};
 use crate::wire::{Change, Condition, Txn, path};
 
@@ -39,6 +40,8 @@
     /// So many coming transactions get no answer and are carried out later.
     pub late_writes: Cell<u32>,
     pub slow_s: Cell<f64>,
+    /// The controller plays the version in production: it neither sees nor writes what that version doesn't know.
+    pub is_production: Cell<bool>,
 }
 
 struct Lease {
@@ -131,6 +134,58 @@
         .find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
 }
 
+/// Drops from a value what the version in production doesn't know. None: it ignores the key.
+fn known_to_production(key: &str, value: &RawValue) -> Option<Box<RawValue>> {
+    match production::read(key, value) {
+        Ok(Read::Understood(value)) => Some(value),
+        Ok(Read::Ignored) => None,
+        Err(e) => panic!("production can't read {key}: {e}"),
+    }
+}
+
+/// Whether the version in production makes a change at all; it writes only the fields that it knows.
+fn as_production_writes_it(change: &mut Change) -> bool {
+    match change {
+        Change::Put { key, value, .. } => match known_to_production(key, value) {
+            Some(known) => {
+                *value = known;
+                true
+            }
+            None => false,
+        },
+        Change::Delete { .. } => true,
+    }
+}
+
+fn as_production_sees_it(mut answer: Response) -> Response {
+    let Ok(mut body) = serde_json::from_slice::<serde_json::Value>(&answer.body) else {
+        return answer;
+    };
+    let is_known = |item: &mut serde_json::Value| {
+        let key = item["K"].as_str().or(item["Put"].as_str());
+        let Some(key) = key.map(str::to_owned) else {
+            // A deletion.
+            return true;
+        };
+        let value = serde_json::value::to_raw_value(&item["V"]).unwrap();
+        let Some(known) = known_to_production(&key, &value) else {
+            return false;
+        };
+        item["V"] = serde_json::from_str(known.get()).unwrap();
+        true
+    };
+    for list in ["Pairs", "News"] {
+        if let Some(items) = body[list].as_array_mut() {
+            items.retain_mut(is_known);
+        }
+    }
+    if !body["V"].is_null() {
+        is_known(&mut body);
+    }
+    answer.body = serde_json::to_vec(&body).unwrap();
+    answer
+}
+
 impl State {
     pub fn start(rt: &Rt, scope: &Scope) -> Rc<Self> {
         let state = Rc::new(State {
@@ -267,6 +322,15 @@
     }
 
     async fn answer(&self, node: usize, request: Request) -> Response {
+        let answer = self.answer_in_full(node, request).await;
+        if self.lines[node].is_production.get() {
+            as_production_sees_it(answer)
+        } else {
+            answer
+        }
+    }
+
+    async fn answer_in_full(&self, node: usize, request: Request) -> Response {
         let line = &self.lines[node];
         if line.slow_s.get() > 0.0 {
             self.rt.sleep(line.slow_s.get()).await;
@@ -293,10 +357,14 @@
 
     async fn transact(&self, node: usize, body: &[u8]) -> Response {
         let asked = serde_json::from_slice::<Asked>(body).ok();
-        let Some(txn) = asked.and_then(Asked::into_txn).map(Rc::new) else {
+        let Some(mut txn) = asked.and_then(Asked::into_txn) else {
             return Response::error(400, "malformed");
         };
         let line = &self.lines[node];
+        if line.is_production.get() {
+            txn.changes.retain_mut(as_production_writes_it);
+        }
+        let txn = Rc::new(txn);
         if !self.fits(&txn) {
             self.too_large.set(self.too_large.get() + 1);
             return Response::error(400, "too large");
--- a/src/node/world/workers.rs
+++ b/src/node/tests/world/workers.rs
@@ -9,11 +9,11 @@
 use crate::lead::split_task;
 use crate::rt::{Rt, Time};
 use crate::testing::FakeWorker;
-use crate::wire::{Command, Report, ReportReply, ReportTask, TaskState, Why, path};
+use crate::wire::{Command, Kind, Report, ReportReply, ReportTask, TaskState, Why, path};
 
 const ANSWER_S: f64 = 4.0;
 const AGAIN_S: f64 = 1.0;
-const CHANGE_S: f64 = 0.5;
+pub(super) const CHANGE_S: f64 = 0.5;
 const BODY_MAX: usize = 1024 * 1024;
 
 pub struct Worker {
@@ -26,7 +26,7 @@
     leased: Cell<Time>,
     report_at: Cell<Time>,
     /// When attempts end.
-    ends: RefCell<BTreeMap<(String, u64), Time>>,
+    pub(super) ends: RefCell<BTreeMap<(String, u64), Time>>,
     up_at: Time,
     gone: Cell<bool>,
     /// It does nothing; what comes meanwhile is there when it goes on.
@@ -58,6 +58,23 @@
             .collect()
     }
 
+    /// Tasks that completed on it and were not reaped yet.
+    pub(super) fn exited_done(&self) -> Vec<ReportTask> {
+        if self.gone.get() || !self.has_lease() {
+            return Vec::new();
+        }
+        let fake = self.fake.borrow();
+        let tasks = fake.report.tasks.iter();
+        tasks
+            .filter(|t| t.state == TaskState::Exited && t.why == Some(Why::Done))
+            .cloned()
+            .collect()
+    }
+
+    pub(super) fn now(&self) -> Time {
+        self.rt.now()
+    }
+
     fn has_lease(&self) -> bool {
         self.rt.now() - self.leased.get() <= self.lease_s
     }
@@ -83,7 +100,12 @@
         self.fake.borrow().report.session > 1
     }
 
-    fn hangs(&self, now: Time) -> bool {
+    /// Its tasks changed: it reports soon.
+    pub(super) fn report_change(&self, now: Time) {
+        self.report_at.set(self.report_at.get().min(now + CHANGE_S));
+    }
+
+    pub(super) fn hangs(&self, now: Time) -> bool {
         now < self.hangs_until.get()
     }
 }
@@ -155,7 +177,7 @@
                     t.state = TaskState::Exited;
                     t.why = Some(Why::Done);
                     self.checks.completed(&t.task);
-                    w.report_at.set(w.report_at.get().min(now + CHANGE_S));
+                    w.report_change(now);
                 }
             }
         }
@@ -251,8 +273,7 @@
         }
         w.leased.set(w.leased.get().max(sent));
         if reply.token > token {
-            w.report_at
-                .set(w.report_at.get().min(self.now() + CHANGE_S));
+            w.report_change(self.now());
         }
         self.execute(w, reply.token, &reply.commands);
     }
@@ -306,9 +327,13 @@
             if let Command::Start { task, attempt } = command
                 && w.live().len() > before
             {
-                let key = (task.clone(), *attempt);
-                let runs_s = self.checks.runs_s(task);
-                w.ends.borrow_mut().insert(key, self.now() + runs_s);
+                if self.checks.spec(task).kind == Kind::Gang {
+                    self.gangs.wait_for_others(w, task, *attempt);
+                } else {
+                    let key = (task.clone(), *attempt);
+                    let runs_s = self.checks.runs_s(task);
+                    w.ends.borrow_mut().insert(key, self.now() + runs_s);
+                }
                 self.checks
                     .started(self.now(), w, task, &self.workers.borrow());
             }
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -286,7 +286,7 @@
 
 /// Stores a job, if neither it nor its end is there. One that waits on more jobs than fit into a value tells of
 /// the rest in others, stored with it. None if it can't be stored.
-fn creation(job: &Submission, at_ms: u64, limits: &StateLimits) -> Option<Txn> {
+pub(crate) fn creation(job: &Submission, at_ms: u64, limits: &StateLimits) -> Option<Txn> {
     let value_max = (limits.value_kb * 1024.0) as usize;
     let mut record = JobRecord {
         spec: job.clone(),
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -528,6 +528,7 @@
             waited_s: now - job.since,
             spread: self.image_spread.get(&*spec.image).copied().unwrap_or(0.0),
         };
+        let avoids_spot = self.is_step_with_deadline(job);
         let mut picker = Picker::new(self.rule, amount, weight);
         for (at, p) in places.iter().enumerate() {
             let room = p.now.capacity.minus(p.now.used);
@@ -539,11 +540,23 @@
                 continue;
             };
             let borrowed = p.role != Role::Shared && !types[p.type_ix].large;
-            picker.offer(at, Tier { far, borrowed }, asked, p.cost, p.now);
+            let tier = Tier {
+                revocable: avoids_spot && p.spot,
+                far,
+                borrowed,
+            };
+            picker.offer(at, tier, asked, p.cost, p.now);
         }
         picker
     }
 
+    /// Whether a job is a step of a chain that has a deadline. A task that is lost with a spot machine starts anew, and
+    /// of a step's many tasks one usually was: half of the late chains waited for that.
+    pub(crate) fn is_step_with_deadline(&self, job: &Job) -> bool {
+        let is_last = !job.spec.waits_on.is_empty() && job.spec.deadline_s.is_some();
+        is_last || job.needed_by.is_finite()
+    }
+
     /// How far a job's image is from a machine, now and once it was asked for. None if the machine
     /// is so busy with other images that others will have it sooner.
     fn distance(&self, p: &Place, spec: &Submission, by: Patience, now: Time) -> Option<(u8, u8)> {
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -1,4 +1,8 @@
-//! Tests of the state machines that need no routines around them.
+//! Tests of the state machines, which need no routines around them.
 
 mod dependency_graphs;
 mod graph;
+pub(crate) mod production;
+mod random_faults;
+mod scenarios;
+mod stored_formats;
--- a/src/scenarios/zones.rs
+++ b/src/tests/scenarios/zones.rs
@@ -212,3 +212,26 @@
     next.on_relay(&record, 21.0);
     assert_eq!(bound(&next), was);
 }
+
+/// A leader that follows during a cut knows the machines behind it from the log alone. Which session their tasks are in
+/// is not known then: that the workers have seen its token frees nothing, but a later session does.
+#[test]
+fn the_first_session_told_from_behind_a_cut_frees_nothing() {
+    let (mut store, _, mut north, south) = cut();
+    let mut next = store.elect("n1", 16.0);
+    hear(&mut store, &mut next, &mut north, 16.2, 18.0);
+    let before = bound(&next);
+    let told = |session| RelayRecord {
+        token: next.token,
+        zone: "south".into(),
+        jobs: Vec::new(),
+        sessions: vec![(south[0].report.machine.clone(), session)],
+    };
+    let (first, again, later) = (told(1), told(1), told(2));
+    for record in [first, again] {
+        next.on_relay(&record, 18.5);
+        assert_eq!(bound(&next), before);
+    }
+    next.on_relay(&later, 19.0);
+    assert_eq!(bound(&next), before - 1);
+}
--- /dev/null
+++ b/src/tests/stored_formats.rs
@@ -0,0 +1,308 @@
+//! Stored records and frames, shared with the version in production: samples as that version writes them, read by
+//! the code as it is, and what the code writes, read by a copy of that version's types.
+
+use std::collections::BTreeMap;
+
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::value::{RawValue, to_raw_value};
+
+use super::production::{self, Read};
+use crate::cluster::{Greeting, WorkerSeen};
+use crate::expect::Mean;
+use crate::lead::AfterTxn;
+use crate::node::users::creation;
+use crate::testing::{FakeStore, FakeWorker, job, types};
+use crate::view::{
+    End, EndRecord, JobLog, JobRecord, LeaderRecord, LogRecord, PleaRecord, RelayRecord,
+    StandInRecord, View, key,
+};
+use crate::wire::{Change, JobState, Kind, MachineType, Priority, Submission, Why};
+
+/// Of each record and frame a sample with every optional field set, then one with none.
+const LEADER: &str = r#"{"host":"n1","incarnation":9876543210123456789}"#;
+const TYPES: &str = r#"[{"Name":"small","Cores":8.0,"Gpus":0.0,"MemoryGb":32.0,"CacheGb":50.0,"PullGbPerS":1.0,"Rate":0.8,"SpotPrice":0.2,"ReadyS":30.0,"Yards":["north","south"]},{"Name":"big","Cores":64.0,"Gpus":0.0,"MemoryGb":256.0,"CacheGb":50.0,"PullGbPerS":1.0,"Rate":8.0,"SpotPrice":2.0,"ReadyS":30.0,"Yards":["north"]}]"#;
+const PLEA: &str = r#"{"token":41}"#;
+const STAND_IN: [&str; 2] = [
+    r#"{"token":41,"zone":"south","over":false}"#,
+    r#"{"token":41,"zone":"south","over":true}"#,
+];
+const RELAY: [&str; 2] = [
+    r#"{"token":41,"zone":"south","jobs":[{"i":"j-1","a":688000001,"d":[[0,2],[5,1]]}],"sessions":[["i-7",2]]}"#,
+    r#"{"token":41,"zone":"south","jobs":[],"sessions":[]}"#,
+];
+const JOB: [&str; 2] = [
+    r#"{"Uid":"j-000412","Jobclass":"train","Crew":"blue","Shape":"group","Urgency":"urgent","Legs":16,"Cores":8.0,"Gpus":1.0,"MemoryGb":64.0,"Bundle":"img-07","ImageGb":6.2,"Rigs":["small"],"Yard":"north","Together":true,"Apart":false,"Loaner":true,"ExpectedS":240.0,"WaypointS":30.0,"StashS":4.0,"DueS":900.0}"#,
+    r#"{"Uid":"j-000412","Jobclass":"train","Crew":"blue","Shape":"batch","Urgency":"idle","Legs":16,"Cores":8.0,"Gpus":1.0,"MemoryGb":64.0,"Bundle":"img-07","ImageGb":6.2,"Together":true,"Apart":false,"Loaner":true,"ExpectedS":240.0,"WaypointS":30.0,"StashS":4.0}"#,
+];
+const END: [&str; 2] = [
+    r#"{"end":"done","done":2}"#,
+    r#"{"end":"aborted","done":0}"#,
+];
+const LOG: [&str; 2] = [
+    r#"{"o":2686976,"z":["north","south"],"m":[["i-1",0],["i-2",1]],"j":[{"i":"j-1","a":687865857,"b":[[0,3,0],[3,1,1]],"d":[[4,2]],"f":[[6,1]]}]}"#,
+    r#"{"j":[{"i":"j-1"}]}"#,
+];
+/// CBOR, in hexadecimal.
+const GREETING: [&str; 2] = [
+    "a464686f7374626e316773746174655f73f9380067776f726b65727381a4676d616368696e6563692d31647a6f6e65656e6f72746864616464726d31302e302e302e313a393030306773657373696f6e036472756e7381827473756d737c4e6f6e657c4e6f6e657c66616c7365a26576616c7565f94a40647365656ef93c00",
+    "a464686f7374626e326773746174655f73f667776f726b657273806472756e7380",
+];
+const UNIX_MS: u64 = 1_796_000_000_000;
+
+fn raw(text: &str) -> Box<RawValue> {
+    RawValue::from_string(text.into()).unwrap()
+}
+
+/// A sample is read, and written again as it was: nothing in it is lost.
+fn read<T: DeserializeOwned + Serialize>(sample: &str) -> T {
+    let record: T = serde_json::from_str(sample).unwrap();
+    assert_eq!(serde_json::to_string(&record).unwrap(), sample);
+    record
+}
+
+/// The version in production reads a value, and keeps this of it.
+fn production_keeps(key: &str, value: &impl Serialize) -> String {
+    match production::read(key, &to_raw_value(value).unwrap()) {
+        Ok(Read::Understood(kept)) => kept.get().to_owned(),
+        other => panic!("{key}: {other:?}"),
+    }
+}
+
+fn job_log() -> JobLog {
+    JobLog {
+        id: "j-1".into(),
+        attempt: 687_865_857,
+        bound: vec![(0, 3, 0), (3, 1, 1)],
+        done: vec![(4, 2)],
+        free: vec![(6, 1)],
+    }
+}
+
+#[test]
+fn each_record_of_production_is_read() {
+    let leader: LeaderRecord = read(LEADER);
+    assert_eq!(leader.incarnation, 9_876_543_210_123_456_789);
+    assert_eq!(read::<Vec<MachineType>>(TYPES), types());
+    assert_eq!(read::<PleaRecord>(PLEA).token, 41);
+    for (sample, over) in STAND_IN.iter().zip([false, true]) {
+        let zone = "south".into();
+        let token = 41;
+        assert_eq!(
+            read::<StandInRecord>(sample),
+            StandInRecord { token, zone, over }
+        );
+    }
+    let relay: RelayRecord = read(RELAY[0]);
+    assert_eq!(relay.jobs[0].done, [(0, 2), (5, 1)]);
+    assert_eq!(relay.sessions, [("i-7".to_owned(), 2)]);
+    assert!(read::<RelayRecord>(RELAY[1]).jobs.is_empty());
+    let full: JobRecord = read(JOB[0]);
+    assert_eq!((full.at_ms, full.parts), (None, 0));
+    assert_eq!(
+        (full.spec.kind, full.spec.priority),
+        (Kind::Gang, Priority::High)
+    );
+    assert_eq!(full.spec.deadline_s, Some(900.0));
+    let plain: JobRecord = read(JOB[1]);
+    assert!(plain.spec.types.is_none() && plain.spec.waits_on.is_empty());
+    for (sample, end) in END.iter().zip([End::Done, End::Cancelled]) {
+        let record: EndRecord = read(sample);
+        assert_eq!((record.end, record.at_ms), (end, None));
+    }
+    let log: LogRecord = read(LOG[0]);
+    assert_eq!(log.jobs, [job_log()]);
+    assert_eq!(read::<LogRecord>(LOG[1]).oldest, 0);
+}
+
+/// Everything that production may have stored, as a controller reads it.
+#[test]
+fn a_store_of_production_is_read_as_a_whole() {
+    let mut view = View::default();
+    let job = JOB[1].replace("j-000412", "j-1");
+    for (key, text, version) in [
+        (key::end("j-2"), END[1], 6),
+        (key::job("j-1"), job.as_str(), 3),
+        (key::leader(), LEADER, 9),
+        (key::plea("n2"), PLEA, 8),
+        (key::relay("n2"), RELAY[0], 8),
+        (key::run(2_686_976), LOG[0], 7),
+        (key::run(2_686_975), LOG[1], 5),
+        (key::stand_in(41, 1), STAND_IN[0], 8),
+        (key::types(), TYPES, 1),
+    ] {
+        view.apply(&key, Some(&raw(text)), version);
+    }
+    view.complete(50.0, UNIX_MS);
+    let known = &view.jobs["j-1"];
+    let status = known.status("j-1");
+    assert_eq!(
+        (status.state, status.done, status.running),
+        (JobState::Running, 2, 4)
+    );
+    // The record has no time: how old the job is is not known, as before.
+    assert_eq!((known.seen, known.waits), (None, false));
+    assert_eq!(view.jobs["j-2"].status("j-2").state, JobState::Cancelled);
+    assert_eq!(view.types.as_deref(), Some(&types()));
+    assert_eq!(view.leader.as_ref().map(|(_, token)| *token), Some(9));
+    assert_eq!((view.stand_ins.len(), view.oldest), (1, 2_686_976));
+}
+
+#[test]
+fn each_record_written_now_is_read_by_production() {
+    let host = "n1".into();
+    let incarnation = 9_876_543_210_123_456_789;
+    let leader = LeaderRecord { host, incarnation };
+    assert_eq!(production_keeps(&key::leader(), &leader), LEADER);
+    assert_eq!(production_keeps(&key::types(), &types()), TYPES);
+    let plea = PleaRecord { token: 41 };
+    assert_eq!(production_keeps(&key::plea("n1"), &plea), PLEA);
+    for (sample, over) in STAND_IN.iter().zip([false, true]) {
+        let record = StandInRecord {
+            token: 41,
+            zone: "south".into(),
+            over,
+        };
+        assert_eq!(production_keeps(&key::stand_in(41, 1), &record), *sample);
+    }
+    for sample in RELAY {
+        let record: RelayRecord = serde_json::from_str(sample).unwrap();
+        assert_eq!(production_keeps(&key::relay("n1"), &record), sample);
+    }
+    for sample in JOB {
+        for (at_ms, parts, waits_on) in [
+            (None, 0, Vec::new()),
+            (Some(UNIX_MS), 0, vec!["j-1".to_owned()]),
+            (Some(UNIX_MS), 3, Vec::new()),
+        ] {
+            let spec: Submission = serde_json::from_str(sample).unwrap();
+            let spec = Submission { waits_on, ..spec };
+            let record = JobRecord { spec, at_ms, parts };
+            assert_eq!(production_keeps(&key::job("j-1"), &record), sample);
+        }
+    }
+    for (sample, end) in END.iter().zip([End::Done, End::Cancelled]) {
+        for at_ms in [None, Some(UNIX_MS)] {
+            let done = if end == End::Done { 2 } else { 0 };
+            let record = EndRecord { end, done, at_ms };
+            assert_eq!(production_keeps(&key::end("j-1"), &record), *sample);
+        }
+    }
+    for sample in LOG {
+        let record: LogRecord = serde_json::from_str(sample).unwrap();
+        assert_eq!(production_keeps(&key::run(7), &record), sample);
+    }
+}
+
+#[test]
+fn frames_are_read_by_both_versions() {
+    let bytes = |hex: &str| -> Vec<u8> {
+        let digit = |at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
+        (0..hex.len()).step_by(2).map(digit).collect()
+    };
+    let mut mean = Mean::default();
+    mean.add(12.5, 40.0);
+    let full = Greeting {
+        host: "n1".into(),
+        state_s: Some(0.5),
+        workers: vec![WorkerSeen {
+            machine: "i-1".into(),
+            zone: "north".into(),
+            addr: "10.0.0.1:9000".into(),
+            session: 3,
+        }],
+        runs: vec![("sums|None|None|false".into(), mean)],
+    };
+    let empty = Greeting {
+        host: "n2".into(),
+        state_s: None,
+        workers: Vec::new(),
+        runs: Vec::new(),
+    };
+    for (sample, frame) in GREETING.iter().zip([full, empty]) {
+        let sample = bytes(sample);
+        let read: Greeting = ciborium::from_reader(sample.as_slice()).unwrap();
+        assert_eq!(read, frame);
+        let mut written = Vec::new();
+        ciborium::into_writer(&frame, &mut written).unwrap();
+        let old: production::Greeting = ciborium::from_reader(written.as_slice()).unwrap();
+        let mut again = Vec::new();
+        ciborium::into_writer(&old, &mut again).unwrap();
+        assert_eq!(again, sample);
+    }
+}
+
+/// All values of a store can be read by production, or have keys that it ignores; the keys of the latter.
+fn ignored_by_production(store: &FakeStore) -> Vec<&str> {
+    let mut ignored = Vec::new();
+    for (key, (value, _)) in &store.keys {
+        match production::read(key, value) {
+            Ok(Read::Understood(_)) => {}
+            Ok(Read::Ignored) => ignored.push(key.as_str()),
+            Err(e) => panic!("{key}: {e}"),
+        }
+    }
+    ignored
+}
+
+/// A leader places jobs that waited, some of whose tasks are done already, and a job whose dependencies are split over
+/// several values lies beside them.
+#[test]
+fn a_store_written_now_is_read_by_production_as_a_whole() {
+    let mut store = FakeStore::default();
+    let mut spec = job("j-1", 6);
+    spec.deadline_s = Some(90.0);
+    store.submit(&spec);
+    let mut config = crate::config::tests::sample();
+    config.deployment.state.value_kb = 1.0;
+    config.deployment.state.txn_ops = 5;
+    let many: Vec<String> = (0..200).map(|n| format!("j-{}", 1000 + n)).collect();
+    let split = Submission {
+        waits_on: many,
+        ..job("j-2", 1)
+    };
+    let split = creation(&split, UNIX_MS, &config.deployment.state).unwrap();
+    store.apply(&split);
+    let after = Submission {
+        waits_on: vec!["j-1".into()],
+        ..job("j-3", 4)
+    };
+    store.submit(&after);
+    let mut lead = store.elect_with(config, "n0", 0.0);
+    let mut w = FakeWorker::new("i-1", "big", "north");
+    let mut now = 1.0;
+    for finished in ["j-1/0", "j-1/1", "", "", "", ""] {
+        for _ in 0..3 {
+            now += 1.0;
+            w.checkin(&mut lead, now);
+            store.settle(&mut lead, now);
+        }
+        w.end(finished, Why::Done);
+    }
+    for task in 0..6 {
+        w.end(&format!("j-1/{task}"), Why::Done);
+    }
+    w.checkin(&mut lead, now + 1.0);
+    while let Some(txn) = lead.next_txn(now + 2.0) {
+        let outcome = store.apply(&txn);
+        assert_ne!(lead.txn_done(outcome, now + 2.0), AfterTxn::Lost);
+    }
+    lead.on_ready("j-3", now + 2.0);
+    store.settle(&mut lead, now + 4.0);
+    let ignored = ignored_by_production(&store);
+    assert!(!ignored.is_empty() && ignored.iter().all(|k| k.contains("/needs/j-2/")));
+    let families: BTreeMap<&str, usize> = store.keys.keys().fold(BTreeMap::new(), |mut n, key| {
+        *n.entry(key.split('/').nth(2).unwrap()).or_default() += 1;
+        n
+    });
+    assert!(families["run"] > 2 && families["end"] == 1, "{families:?}");
+    // What production reads of the log is what was written.
+    for (key, (value, _)) in store.keys.iter().filter(|(k, _)| k.contains("/run/")) {
+        let kept = production_keeps(key, value);
+        assert_eq!(kept, value.get());
+    }
+    assert!(split.changes.iter().all(|change| match change {
+        Change::Put { value, .. } => value.get().len() <= 1024,
+        Change::Delete { .. } => false,
+    }));
+}
