--- a/src/autoscale.rs
+++ b/src/autoscale.rs
@@ -41,6 +41,13 @@
         self.job_tasks.get().unwrap_or(1.0)
     }
 
+    /// So many of its tasks have their machines already.
+    fn take_off(&mut self, tasks: f64) {
+        let pending = self.pending.min(tasks);
+        self.pending -= pending;
+        self.bound = (self.bound - (tasks - pending)).max(0.0);
+    }
+
     /// The run time to reckon with; the first few that are seen are the shortest ones.
     fn run_s(&self) -> f64 {
         self.run_s.max(1.0)
@@ -333,6 +340,18 @@
             };
             self.cover(class, want, &mut units, &there, &mut rents, now);
         }
+        for (name, steps) in self.steps_with_deadline() {
+            let tasks = steps.pending + steps.bound;
+            let want = Want {
+                full: tasks,
+                lean: tasks,
+                rent: tasks,
+            };
+            let left = self.cover(&steps, want, &mut units, &there, &mut rents, now);
+            if let Some(class) = self.classes.get_mut(&*name) {
+                class.take_off(tasks - left.full.max(0.0));
+            }
+        }
         let mut classes: Vec<Class> = self.classes.values().cloned().collect();
         // Work that takes most of a machine chooses first, then what has least choice.
         classes.sort_by_key(|c| {
--- a/src/autoscale/cover.rs
+++ b/src/autoscale/cover.rs
@@ -53,7 +53,7 @@
         units
     }
 
-    /// Finds machines for the tasks of a class: those there are, then rented ones.
+    /// Finds machines for the tasks of a class: those there are, then rented ones. Returns what it found none for.
     pub(super) fn cover(
         &self,
         class: &Class,
@@ -62,7 +62,7 @@
         there: &BTreeMap<PoolKey, u32>,
         rents: &mut Rents,
         now: Time,
-    ) {
+    ) -> Want {
         let spec = &class.spec;
         let mut left = want;
         let kinds = self.kinds(spec);
@@ -112,7 +112,7 @@
                 (false, left.lean.min(left.rent))
             };
             if need <= 1e-6 {
-                return;
+                return left;
             }
             let limit = if cheap_only { cheap } else { f64::INFINITY };
             let Some((pool, per_machine, room)) =
@@ -132,7 +132,7 @@
                         }
                     }
                 }
-                return;
+                return left;
             };
             let machines = (need / per_machine)
                 .ceil()
--- a/src/autoscale/wanted.rs
+++ b/src/autoscale/wanted.rs
@@ -165,6 +165,42 @@
         if late > 0.0 { class.bound + late } else { 0.0 }
     }
 
+    /// The steps of chains with a deadline that run or may run next, as classes of their own that use no spot machines:
+    /// a task that is lost with one makes the whole chain late.
+    pub(super) fn steps_with_deadline(&self) -> Vec<(Rc<str>, Class)> {
+        let mut found: BTreeMap<Rc<str>, Class> = BTreeMap::new();
+        let open = self.jobs.values().filter(|j| j.ended.is_none());
+        for job in open.filter(|j| j.spec.spot && self.is_step_with_deadline(j)) {
+            if job.waits && !self.is_next_step(job) {
+                continue;
+            }
+            let usual = self.classes.get(&*job.class);
+            let Some(usual) = usual.filter(|c| !self.is_large_class(c)) else {
+                continue;
+            };
+            let own = found.entry(job.class.clone()).or_insert_with(|| {
+                let mut spec = (*usual.spec).clone();
+                spec.spot = false;
+                Class {
+                    spec: Rc::new(spec),
+                    pending: 0.0,
+                    bound: 0.0,
+                    ..usual.clone()
+                }
+            });
+            own.pending += f64::from(job.pending());
+            own.bound += f64::from(job.bound);
+        }
+        found.into_iter().collect()
+    }
+
+    /// Whether everything that a job waits for has begun.
+    fn is_next_step(&self, job: &Job) -> bool {
+        let needs = job.spec.waits_on.iter();
+        let mut known = needs.filter_map(|id| self.jobs.get(&self.job_ix(id)?));
+        known.all(|need| !need.waits)
+    }
+
     /// Jobs that the means of their class tell nothing of, and that have waited for long: tasks
     /// larger than usual, or a gang for a single zone where the class has several. By the mean
     /// there was room for them all the time, and one once waited for ever.
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -923,7 +923,11 @@
         let Task::Bound { machine, .. } = job.task(task) else {
             return;
         };
-        let may_wait = self.tightest_wait(&job.spec) * LAUNCH_WAIT_SHARE;
+        let mut start_s = self.tightest_wait(&job.spec);
+        if self.is_step_with_deadline(job) {
+            start_s = start_s.min(self.run_s(job));
+        }
+        let may_wait = start_s * LAUNCH_WAIT_SHARE;
         let report_s = self.config.deployment.workers.report_s;
         if let Some(m) = self.fleet.machines.get_mut(&machine)
             && m.heard
