--- a/src/node/standin.rs
+++ b/src/node/standin.rs
@@ -12,8 +12,8 @@
 use crate::view::{JobLog, RelayRecord, key};
 use crate::wire::{Change, Command, Condition, Report, ReportReply, TaskState, Txn, Why};
 
-/// Bytes of a relayed value that are kept free.
-const RELAY_MARGIN: usize = 512;
+/// Bytes of a relayed value beside its jobs and sessions.
+const RELAY_MARGIN: usize = 128;
 /// Bytes that a job's id is written with, and a range of its tasks.
 const JOB_BYTES: usize = 48;
 const RANGE_BYTES: usize = 16;
@@ -82,17 +82,15 @@
             bytes += machine.len() + RANGE_BYTES;
             sessions.push((machine, session));
         }
-        while let Some(((id, attempt), tasks)) = self.pending.pop_first() {
-            let mut done: Vec<(u32, u32)> = Vec::new();
-            for task in &tasks {
-                match done.last_mut() {
-                    Some((first, n)) if *first + *n == *task => *n += 1,
-                    _ => done.push((*task, 1)),
-                }
+        while let Some(((id, attempt), mut tasks)) = self.pending.pop_first() {
+            bytes += id.len() + JOB_BYTES;
+            let ranges = limit.saturating_sub(bytes) / RANGE_BYTES;
+            let done = take_ranges(&mut tasks, ranges);
+            bytes += done.len() * RANGE_BYTES;
+            if !tasks.is_empty() {
+                self.pending.insert((id.clone(), attempt), tasks);
             }
-            bytes += id.len() + JOB_BYTES + done.len() * RANGE_BYTES;
-            if bytes > limit && !(jobs.is_empty() && sessions.is_empty()) {
-                self.pending.insert((id, attempt), tasks);
+            if done.is_empty() {
                 break;
             }
             jobs.push(JobLog {
@@ -120,6 +118,21 @@
     }
 }
 
+/// Takes up to `most` ranges of consecutive tasks, as their first tasks and lengths.
+fn take_ranges(tasks: &mut BTreeSet<u32>, most: usize) -> Vec<(u32, u32)> {
+    let mut ranges: Vec<(u32, u32)> = Vec::new();
+    while let Some(task) = tasks.first().copied() {
+        let is_full = ranges.len() >= most;
+        match ranges.last_mut() {
+            Some((first, n)) if *first + *n == task => *n += 1,
+            _ if is_full => break,
+            _ => ranges.push((task, 1)),
+        }
+        tasks.remove(&task);
+    }
+    ranges
+}
+
 /// Stops for all that a worker has of jobs that are over: a cancelled job must be gone in time, and
 /// its worker's lease goes on here.
 pub(crate) fn stops(report: &Report, over: impl Fn(&str) -> bool) -> Vec<Command> {
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -15,6 +15,8 @@
 use crate::view::{End, EndRecord, JobRecord, JobView, key};
 use crate::wire::{self, Condition, JobState, Kind, Submission, Txn, path};
 
+/// Bytes of a transaction, as the protocol says.
+const TXN_BYTES_MAX: usize = 64 * 1024;
 const TOO_LARGE: &str = "larger than the state service can store";
 
 impl Node {
@@ -293,29 +295,30 @@
         at_ms: Some(at_ms),
         parts: 0,
     };
-    let mut own = to_raw_value(&record).ok()?;
-    if own.get().len() > value_max {
+    let mut values = vec![(key::job(&job.id), to_raw_value(&record).ok()?)];
+    if values[0].1.get().len() > value_max {
         let ids = std::mem::take(&mut record.spec.waits_on);
-        let quoted = ids.iter().map(|id| id.len() + 3).max()?;
-        let per_part = value_max.saturating_sub(2) / quoted;
-        let parts: Vec<&[String]> = ids.chunks(per_part.max(1)).collect();
+        let parts = in_parts(&ids, value_max);
         record.parts = u32::try_from(parts.len()).ok()?;
-        own = to_raw_value(&record).ok()?;
-        let parts: Vec<Box<RawValue>> = parts.iter().filter_map(|p| to_raw_value(p).ok()).collect();
-        return (own.get().len() <= value_max && parts.len() < limits.txn_ops).then(|| {
-            let rest = (1..)
-                .zip(parts)
-                .map(|(part, value)| (key::needs(&job.id, part), value));
-            stored_together(
-                &job.id,
-                std::iter::once((key::job(&job.id), own)).chain(rest),
-            )
-        });
+        values = vec![(key::job(&job.id), to_raw_value(&record).ok()?)];
+        for (part, ids) in (1..).zip(parts) {
+            values.push((key::needs(&job.id, part), to_raw_value(ids).ok()?));
+        }
     }
-    Some(stored_together(
-        &job.id,
-        std::iter::once((key::job(&job.id), own)),
-    ))
+    let fits = |(_, value): &(String, Box<RawValue>)| value.get().len() <= value_max;
+    let txn = stored_together(&job.id, values.into_iter().filter(fits));
+    let whole =
+        txn.changes.len() == record.parts as usize + 1 && txn.changes.len() <= limits.txn_ops;
+    let bytes = serde_json::to_vec(&txn).ok()?.len();
+    (whole && bytes <= TXN_BYTES_MAX).then_some(txn)
+}
+
+/// Splits ids into lists that take at most `bytes` each when they are written.
+fn in_parts(ids: &[String], bytes: usize) -> Vec<&[String]> {
+    // With its quotes and a comma.
+    let longest = ids.iter().map(|id| id.len() + 3).max().unwrap_or(1);
+    let per_part = bytes.saturating_sub(2) / longest;
+    ids.chunks(per_part.max(1)).collect()
 }
 
 fn stored_together(id: &str, values: impl Iterator<Item = (String, Box<RawValue>)>) -> Txn {
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -5,4 +5,5 @@
 pub(crate) mod production;
 mod random_faults;
 mod scenarios;
+mod state_limits;
 mod stored_formats;
