--- a/src/node/tests/faults.rs
+++ b/src/node/tests/faults.rs
@@ -646,6 +646,28 @@
     });
 }
 
+/// The write of an assignment gets no answer, and the leader ends before it is carried out: nothing of it may have
+/// started, as the next leader knows nothing of it and starts the tasks elsewhere before it has heard all machines.
+#[test]
+fn nothing_starts_before_its_assignment_is_known_to_be_stored() {
+    play(plain, async |w: Rc<World>| {
+        begin(&w, 8).await;
+        w.run(4.0).await;
+        w.state.lines[0].late_writes.set(u32::MAX);
+        w.submit_surely(1, &running("j-1", 8, 60.0)).await;
+        w.run(1.5).await;
+        assert_eq!(w.live("j-1"), 0);
+        for k in w.all_workers().iter().step_by(2) {
+            k.mute_until.set(w.now() + 15.0);
+        }
+        w.kill(0);
+        another_leads(&w, 0).await;
+        w.until("running", 30.0, || w.live("j-1") == 8).await;
+        w.start(0);
+        w.see_the_end(200.0).await;
+    });
+}
+
 /// Everything that was ever sent to the state service is carried out again, within a tenure and under the next.
 #[test]
 fn everything_written_may_come_again_at_any_time() {
