--- a/src/api.rs
+++ b/src/api.rs
@@ -4,7 +4,7 @@
 
 use crate::config::Config;
 use crate::http::Response;
-use crate::lead::type_allowed;
+use crate::leader::type_allowed;
 use crate::view::JobView;
 use crate::wire::{Kind, MachineType, Submission};
 
@@ -61,7 +61,7 @@
     Ok(job)
 }
 
-/// Why a job can never run, if it can't.
+/// ExitReason a job can never run, if it can't.
 pub fn never_runs(job: &Submission, config: &Config, types: &[MachineType]) -> Option<String> {
     let Some(team) = config.team(&job.team) else {
         return Some(format!("unknown team {}", job.team));
--- a/src/expect.rs
+++ b/src/arrivals.rs
@@ -20,7 +20,7 @@
 /// A crowd that comes at one moment, as at a start or after an outage, says little about the next
 /// minutes: what is far above the usual of an interval is not counted.
 #[derive(Debug)]
-pub struct Expected {
+pub struct ArrivalForecast {
     interval_s: f64,
     kept: u64,
     since: Time,
@@ -45,10 +45,10 @@
 /// How far from what the last intervals tell the long-time rate may be, in standard deviations.
 const DOUBT: f64 = 2.5;
 
-impl Expected {
+impl ArrivalForecast {
     /// Counts intervals of `interval_s` over the last `window_s`.
     pub fn new(interval_s: f64, window_s: f64, now: Time) -> Self {
-        Expected {
+        ArrivalForecast {
             interval_s,
             kept: (window_s / interval_s).ceil().max(1.0) as u64,
             since: now,
--- a/src/expect/tests.rs
+++ b/src/arrivals/tests.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_crowd_counts_once_and_rates_fade() {
-    let mut expected = Expected::new(3.0, 120.0, 0.0);
+    let mut expected = ArrivalForecast::new(3.0, 120.0, 0.0);
     let spec = job("j-1", 1);
     let class = class_name(&spec);
     for _ in 0..50 {
@@ -27,7 +27,7 @@
 /// and the machines for them were never enough.
 #[test]
 fn frequent_arrivals_are_no_crowd() {
-    let mut expected = Expected::new(3.0, 150.0, 0.0);
+    let mut expected = ArrivalForecast::new(3.0, 150.0, 0.0);
     let spec = job("j-1", 1);
     let class = class_name(&spec);
     let mut now = 0.0;
--- a/src/runlog.rs
+++ b/src/assignment_log.rs
@@ -8,12 +8,12 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::book::{Job, JobIx, MachineIx, Task};
+use crate::jobs::{Job, JobIndex, MachineIndex, Task};
 use crate::view::{JobLog, LogRecord};
 
 /// What a value says of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum Recorded {
     /// On no machine.
     Free,
     /// On a machine, with this attempt.
@@ -37,11 +37,11 @@
 pub struct Writer {
     pub record: LogRecord,
     /// The tasks told of.
-    pub told: Vec<(JobIx, u32, Told)>,
+    pub told: Vec<(JobIndex, u32, Recorded)>,
     bytes: usize,
     limit: usize,
-    machines: HashMap<MachineIx, u32>,
-    jobs: HashMap<(JobIx, u64), usize>,
+    machines: HashMap<MachineIndex, u32>,
+    jobs: HashMap<(JobIndex, u64), usize>,
 }
 
 fn digits(n: u64) -> usize {
@@ -75,24 +75,24 @@
     /// and zone.
     pub fn add<'a>(
         &mut self,
-        ix: JobIx,
+        index: JobIndex,
         job: &Job,
         task: u32,
-        place: impl FnOnce(MachineIx) -> Option<(&'a str, &'a str)>,
+        place: impl FnOnce(MachineIndex) -> Option<(&'a str, &'a str)>,
     ) -> bool {
         let (told, machine) = match job.task(task) {
-            Task::Pending => (Told::Free, None),
-            Task::Done { .. } => (Told::Done, None),
+            Task::Pending => (Recorded::Free, None),
+            Task::Done { .. } => (Recorded::Done, None),
             Task::Bound {
                 machine, attempt, ..
-            } => (Told::Bound(attempt), Some(machine)),
+            } => (Recorded::Bound(attempt), Some(machine)),
         };
         let attempt = match told {
-            Told::Bound(attempt) => attempt,
-            Told::Free | Told::Done => 0,
+            Recorded::Bound(attempt) => attempt,
+            Recorded::Free | Recorded::Done => 0,
         };
         let mut cost = 3 * digits(u64::from(task) + 1) + RANGE_PUNCTUATION;
-        if !self.jobs.contains_key(&(ix, attempt)) {
+        if !self.jobs.contains_key(&(index, attempt)) {
             cost += job.id.len() + digits(attempt) + JOB_PUNCTUATION;
         }
         let mut fresh = None;
@@ -123,7 +123,7 @@
             self.machines.insert(machine, at);
         }
         let jobs = &mut self.record.jobs;
-        let at = *self.jobs.entry((ix, attempt)).or_insert_with(|| {
+        let at = *self.jobs.entry((index, attempt)).or_insert_with(|| {
             jobs.push(JobLog {
                 id: job.id.to_string(),
                 attempt,
@@ -139,8 +139,8 @@
             },
             None => {
                 let ranges = match told {
-                    Told::Done => &mut log.done,
-                    Told::Free | Told::Bound(_) => &mut log.free,
+                    Recorded::Done => &mut log.done,
+                    Recorded::Free | Recorded::Bound(_) => &mut log.free,
                 };
                 match ranges.last_mut() {
                     Some((first, n)) if *first + *n == task => *n += 1,
@@ -148,26 +148,26 @@
                 }
             }
         }
-        self.told.push((ix, task, told));
+        self.told.push((index, task, told));
         true
     }
 }
 
 /// The values that are stored, and which tasks each tells of.
 #[derive(Debug)]
-pub struct RunLog {
-    values: BTreeMap<u64, Vec<(JobIx, u32)>>,
+pub struct AssignmentLog {
+    values: BTreeMap<u64, Vec<(JobIndex, u32)>>,
     next: u64,
     kept: usize,
     oldest: u64,
 }
 
-impl RunLog {
+impl AssignmentLog {
     /// The log as a leader with this token finds it, with the oldest value that counts. Its numbers are its token and some bits of a
     /// counter, and so above all that were used before: the store's revision rises with every
     /// transaction, which holds few values.
     pub fn new(token: u64, stored: impl Iterator<Item = u64>, oldest: u64) -> Self {
-        RunLog {
+        AssignmentLog {
             values: stored.map(|number| (number, Vec::new())).collect(),
             next: token << NUMBER_BITS,
             kept: KEPT_MIN,
@@ -197,8 +197,8 @@
     }
 
     /// Notes that a stored value tells of a task.
-    pub fn enter(&mut self, number: u64, ix: JobIx, task: u32) {
-        self.values.entry(number).or_default().push((ix, task));
+    pub fn enter(&mut self, number: u64, index: JobIndex, task: u32) {
+        self.values.entry(number).or_default().push((index, task));
     }
 
     /// The number of the next value.
@@ -214,7 +214,7 @@
 
     /// The oldest values that are more than need be kept, `most` at the most, with the tasks they
     /// told of.
-    pub fn surplus(&self, most: usize) -> impl Iterator<Item = (u64, &[(JobIx, u32)])> {
+    pub fn surplus(&self, most: usize) -> impl Iterator<Item = (u64, &[(JobIndex, u32)])> {
         let counting = self.values.range(self.oldest..);
         let surplus = counting.clone().count().saturating_sub(self.kept);
         let oldest = counting.take(surplus.min(most));
--- a/src/autoscale.rs
+++ b/src/autoscale.rs
@@ -2,16 +2,16 @@
 
 mod calls;
 mod cover;
-mod letting_go;
-mod wanted;
+mod demand;
+mod scale_down;
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-use crate::book::{Job, JobIx, MachineIx, amount};
-use crate::expect::{JOBS_KEPT, Mean, class_name};
+use crate::arrivals::{JOBS_KEPT, Mean, class_name};
 use crate::fleet::Role;
-use crate::lead::{Lead, type_allowed};
+use crate::jobs::{Job, JobIndex, MachineIndex, amount};
+use crate::leader::{Leader, type_allowed};
 use crate::pricing::Amount;
 use crate::rt::Time;
 use crate::wire::{ListedMachine, MachineType, Priority, Rent, Submission, TaskState};
@@ -57,7 +57,7 @@
 /// Where machines come from.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolKey {
-    pub type_ix: usize,
+    pub type_index: usize,
     pub spot: bool,
     pub zone: Rc<str>,
 }
@@ -101,7 +101,7 @@
     pools: BTreeMap<PoolKey, Pool>,
     next_request: u64,
     rents: VecDeque<(Rent, Role)>,
-    deletes: Vec<MachineIx>,
+    deletes: Vec<MachineIndex>,
     /// Names returned, which a late list may still show.
     returned: HashSet<Rc<str>>,
     /// The same, the first returned first.
@@ -210,7 +210,7 @@
 /// For how many tasks of a class there should be machines: of the cheapest kinds as many as help
 /// at all, of dearer ones only what keeps the work in time.
 #[derive(Debug, Clone, Copy)]
-struct Want {
+struct Demand {
     full: f64,
     lean: f64,
     /// As `lean`, but for machines still to be rented: what they will find when they are up.
@@ -219,8 +219,8 @@
 
 /// A machine in the eyes of the sizing: there, coming, or to be rented.
 pub(crate) struct Unit {
-    pub(crate) ix: Option<MachineIx>,
-    type_ix: usize,
+    pub(crate) index: Option<MachineIndex>,
+    type_index: usize,
     spot: bool,
     zone: Rc<str>,
     room: Amount,
@@ -237,10 +237,10 @@
     taken: bool,
 }
 
-impl Lead {
+impl Leader {
     /// A job came: its class is seen.
-    pub(crate) fn note_arrival(&mut self, ix: JobIx) {
-        let job = &self.jobs[&ix];
+    pub(crate) fn note_arrival(&mut self, index: JobIndex) {
+        let job = &self.jobs[&index];
         let spec = job.spec.clone();
         let a = amount(&spec);
         let class = self
@@ -276,8 +276,8 @@
     }
 
     /// A task ran for so long.
-    pub(crate) fn note_run(&mut self, ix: JobIx, ran: f64) {
-        let name = &self.jobs[&ix].class;
+    pub(crate) fn note_run(&mut self, index: JobIndex, ran: f64) {
+        let name = &self.jobs[&index].class;
         self.expected.borrow_mut().note_run(name, ran);
     }
 
@@ -333,7 +333,7 @@
                 class.pending -= own.pending;
             }
             let (tasks, class) = (own.pending, &own);
-            let want = Want {
+            let want = Demand {
                 full: tasks,
                 lean: tasks,
                 rent: tasks,
@@ -342,7 +342,7 @@
         }
         for (name, steps) in self.steps_with_deadline() {
             let tasks = steps.pending + steps.bound;
-            let want = Want {
+            let want = Demand {
                 full: tasks,
                 lean: tasks,
                 rent: tasks,
@@ -371,7 +371,10 @@
             self.cover(class, want, &mut units, &there, &mut rents, now);
         }
         for unit in &units {
-            let Some(m) = unit.ix.and_then(|ix| self.fleet.machines.get_mut(&ix)) else {
+            let Some(m) = unit
+                .index
+                .and_then(|index| self.fleet.machines.get_mut(&index))
+            else {
                 continue;
             };
             if unit.taken {
@@ -389,7 +392,7 @@
                 self.make_room(class, &units, now);
             }
         }
-        self.let_go(&units, now);
+        self.scale_down(&units, now);
         if tracing::enabled!(tracing::Level::DEBUG) {
             self.log_fleet();
         }
@@ -402,7 +405,7 @@
                     self.cloud.next_request += 1;
                     let rent = Rent {
                         request: format!("r-{}-{}", self.token, self.cloud.next_request),
-                        type_name: self.types[pool.type_ix].name.clone(),
+                        type_name: self.types[pool.type_index].name.clone(),
                         zone: pool.zone.to_string(),
                         spot: pool.spot,
                         count,
@@ -446,8 +449,10 @@
         );
         let mut kinds: BTreeMap<(usize, bool), [f64; 4]> = BTreeMap::new();
         for m in self.fleet.machines.values() {
-            let Some(type_ix) = m.type_ix else { continue };
-            let k = kinds.entry((type_ix, m.spot)).or_default();
+            let Some(type_index) = m.type_index else {
+                continue;
+            };
+            let k = kinds.entry((type_index, m.spot)).or_default();
             k[usize::from(m.is_up())] += 1.0;
             k[2] += f64::from(u8::from(m.draining));
             if m.is_up() {
@@ -462,21 +467,24 @@
             count(|m| m.skips > 0),
             count(|m| m.deaf_since.is_some())
         );
-        for ((type_ix, spot), [coming, up, draining, used]) in kinds {
+        for ((type_index, spot), [coming, up, draining, used]) in kinds {
             tracing::debug!(
                 "{} spot {spot}: {coming} coming, {up} up, {draining} draining, {used:.1} used",
-                self.types[type_ix].name
+                self.types[type_index].name
             );
         }
     }
 
     /// Below which priority jobs may borrow machines of a type that are kept for large work: those
     /// that all such work may stop. None while large work waits for such machines.
-    pub(crate) fn lend_below(&self, type_ix: usize) -> Option<Priority> {
-        let t = &self.types[type_ix];
+    pub(crate) fn lend_below(&self, type_index: usize) -> Option<Priority> {
+        let t = &self.types[type_index];
         let large =
-            |spec: &Submission| type_allowed(spec, t) && self.is_large_on(amount(spec), type_ix);
-        let waits = self.active.iter().any(|ix| large(&self.jobs[ix].spec));
+            |spec: &Submission| type_allowed(spec, t) && self.is_large_on(amount(spec), type_index);
+        let waits = self
+            .active
+            .iter()
+            .any(|index| large(&self.jobs[index].spec));
         if waits {
             return None;
         }
@@ -487,8 +495,8 @@
             .min()
     }
 
-    pub(crate) fn is_large_on(&self, amount: Amount, type_ix: usize) -> bool {
-        amount.largest_share(self.capacity_of(type_ix)) > self.config.tunables.large_share
+    pub(crate) fn is_large_on(&self, amount: Amount, type_index: usize) -> bool {
+        amount.largest_share(self.capacity_of(type_index)) > self.config.tunables.large_share
     }
 
     fn is_large_class(&self, class: &Class) -> bool {
--- a/src/autoscale/calls.rs
+++ b/src/autoscale/calls.rs
@@ -7,11 +7,11 @@
     TYPES_LEASES,
 };
 use crate::fleet::Role;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::rt::Time;
 use crate::wire::{ListedMachine, MachineState, MachineType, Rent};
 
-impl Lead {
+impl Leader {
     /// The next call to make, if one is due.
     pub fn next_cloud_call(&mut self, now: Time) -> Option<CloudCall> {
         let w = &self.config.deployment.workers;
@@ -21,7 +21,7 @@
                 .cloud
                 .deletes
                 .iter()
-                .filter_map(|ix| self.fleet.machines.get(ix))
+                .filter_map(|index| self.fleet.machines.get(index))
                 .map(|m| m.name.to_string())
                 .take(DELETE_MAX)
                 .collect();
@@ -81,9 +81,9 @@
             }
             (CloudCall::Delete(names), CloudAnswer::Deleted) => {
                 for name in names {
-                    if let Some(ix) = self.fleet.find(&name) {
-                        self.cloud.deletes.retain(|d| *d != ix);
-                        self.machine_gone(ix, now);
+                    if let Some(index) = self.fleet.find(&name) {
+                        self.cloud.deletes.retain(|d| *d != index);
+                        self.machine_gone(index, now);
                     }
                     self.cloud.note_returned(name.into());
                 }
@@ -102,7 +102,7 @@
 
     pub(super) fn pool_of(&self, rent: &Rent) -> Option<PoolKey> {
         Some(PoolKey {
-            type_ix: self.type_by_name(&rent.type_name)?,
+            type_index: self.type_by_name(&rent.type_name)?,
             spot: rent.spot,
             zone: rent.zone.as_str().into(),
         })
@@ -118,7 +118,7 @@
             (&queued.type_name, &queued.zone, queued.spot)
                 != (&rent.type_name, &rent.zone, rent.spot)
         });
-        let boot_s = self.types[key.type_ix].boot_s;
+        let boot_s = self.types[key.type_index].boot_s;
         let there = self.pool_counts().get(&key).copied().unwrap_or(0);
         let pool = self.cloud.pools.entry(key).or_default();
         pool.backoff_s = (pool.backoff_s * 2.0)
@@ -130,14 +130,14 @@
     }
 
     pub(super) fn on_rented(&mut self, rent: &Rent, role: Role, names: &[String], now: Time) {
-        let type_ix = self.type_by_name(&rent.type_name);
+        let type_index = self.type_by_name(&rent.type_name);
         for name in names {
             let known = self.fleet.find(name).is_some();
-            let ix = self.fleet.enter(name, &rent.zone, now);
-            let capacity = type_ix.map(|t| self.capacity_of(t)).unwrap_or_default();
-            if let Some(m) = self.fleet.machines.get_mut(&ix) {
+            let index = self.fleet.enter(name, &rent.zone, now);
+            let capacity = type_index.map(|t| self.capacity_of(t)).unwrap_or_default();
+            if let Some(m) = self.fleet.machines.get_mut(&index) {
                 if !known {
-                    m.type_ix = type_ix;
+                    m.type_index = type_index;
                     m.capacity = capacity;
                     m.spot = rent.spot;
                     m.rented = now;
@@ -159,16 +159,16 @@
         if self.cloud.is_returned(&listed.id) {
             return;
         }
-        let type_ix = self.type_by_name(&listed.type_name);
-        let capacity = type_ix.map(|t| self.capacity_of(t)).unwrap_or_default();
-        let ix = self.fleet.enter(&listed.id, &listed.zone, now);
-        let Some(m) = self.fleet.machines.get_mut(&ix) else {
+        let type_index = self.type_by_name(&listed.type_name);
+        let capacity = type_index.map(|t| self.capacity_of(t)).unwrap_or_default();
+        let index = self.fleet.enter(&listed.id, &listed.zone, now);
+        let Some(m) = self.fleet.machines.get_mut(&index) else {
             return;
         };
         m.addr = m.addr.or_else(|| listed.addr.parse().ok());
         m.listed_at = Some(now);
-        if m.type_ix.is_none() {
-            m.type_ix = type_ix;
+        if m.type_index.is_none() {
+            m.type_index = type_index;
             m.capacity = capacity;
             m.spot = listed.spot;
         }
@@ -180,10 +180,10 @@
                 m.listed_running.get_or_insert(now);
                 if m.heard.is_none() {
                     m.direct_wanted = true;
-                    self.fleet.calls.insert(ix);
+                    self.fleet.calls.insert(index);
                 }
             }
-            MachineState::Failed => self.give_back(ix, "failed"),
+            MachineState::Failed => self.give_back(index, "failed"),
         }
     }
 }
--- a/src/autoscale/cover.rs
+++ b/src/autoscale/cover.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use super::{CHEAP, Class, PoolKey, RENT_MAX, Rents, Unit, Want, tasks_that_fit};
+use super::{CHEAP, Class, Demand, PoolKey, RENT_MAX, Rents, Unit, tasks_that_fit};
 use crate::fleet::Role;
-use crate::lead::{Lead, type_allowed};
+use crate::leader::{Leader, type_allowed};
 use crate::rt::Time;
 use crate::wire::Submission;
 
-impl Lead {
+impl Leader {
     /// The machines that are there or coming, cheapest and fullest first.
     pub(super) fn units(&self, now: Time) -> Vec<Unit> {
         let t = &self.config.tunables;
@@ -18,17 +18,18 @@
             .iter()
             .filter(|(_, m)| !m.leaving && !m.suspect && m.notice.is_none())
             .filter(|(_, m)| !self.is_cut_off(m))
-            .filter_map(|(ix, m)| {
-                let type_ix = m.type_ix?;
-                let late = !m.is_up() && now - m.rented > self.types[type_ix].boot_s * t.late_boots;
-                let capacity = self.capacity_of(type_ix);
+            .filter_map(|(index, m)| {
+                let type_index = m.type_index?;
+                let late =
+                    !m.is_up() && now - m.rented > self.types[type_index].boot_s * t.late_boots;
+                let capacity = self.capacity_of(type_index);
                 (!late).then(|| Unit {
-                    ix: Some(*ix),
-                    type_ix,
+                    index: Some(*index),
+                    type_index,
                     spot: m.spot,
                     zone: m.zone.clone(),
                     room: capacity,
-                    price: self.unit_price(type_ix, m.spot),
+                    price: self.unit_price(type_index, m.spot),
                     used: m.used.largest_share(capacity),
                     up: m.is_up(),
                     has_large: m.has_large(t.large_share),
@@ -57,23 +58,23 @@
     pub(super) fn cover(
         &self,
         class: &Class,
-        want: Want,
+        want: Demand,
         units: &mut Vec<Unit>,
         there: &BTreeMap<PoolKey, u32>,
         rents: &mut Rents,
         now: Time,
-    ) -> Want {
+    ) -> Demand {
         let spec = &class.spec;
         let mut left = want;
         let kinds = self.kinds(spec);
         let large_class = self.is_large_class(class);
         let cheap = self.cheapest(spec) * CHEAP;
         let suits = |unit: &Unit| {
-            kinds.contains(&(unit.type_ix, unit.spot))
+            kinds.contains(&(unit.type_index, unit.spot))
                 && spec.zone.as_ref().is_none_or(|z| **z == *unit.zone)
                 && (!unit.taken || unit.large == large_class)
         };
-        let take_from = |unit: &mut Unit, left: &mut Want| {
+        let take_from = |unit: &mut Unit, left: &mut Demand| {
             let need = if unit.price <= cheap {
                 left.full
             } else {
@@ -145,14 +146,14 @@
             *rents.entry((pool.clone(), role)).or_insert(0) += machines as u32;
             for _ in 0..machines as u32 {
                 let take = per_machine.min(need);
-                let capacity = self.capacity_of(pool.type_ix);
+                let capacity = self.capacity_of(pool.type_index);
                 units.push(Unit {
-                    ix: None,
-                    type_ix: pool.type_ix,
+                    index: None,
+                    type_index: pool.type_index,
                     spot: pool.spot,
                     zone: pool.zone.clone(),
                     room: capacity.minus(class.amount.times(take)),
-                    price: self.unit_price(pool.type_ix, pool.spot),
+                    price: self.unit_price(pool.type_index, pool.spot),
                     used: 0.0,
                     up: false,
                     has_large: false,
@@ -172,9 +173,11 @@
     pub(super) fn pool_counts(&self) -> BTreeMap<PoolKey, u32> {
         let mut counts = BTreeMap::new();
         for m in self.fleet.machines.values() {
-            let Some(type_ix) = m.type_ix else { continue };
+            let Some(type_index) = m.type_index else {
+                continue;
+            };
             let key = PoolKey {
-                type_ix,
+                type_index,
                 spot: m.spot,
                 zone: m.zone.clone(),
             };
@@ -194,29 +197,29 @@
         rents: &Rents,
         now: Time,
     ) -> Option<(PoolKey, f64, u32)> {
-        let shunned = |zone: &str| self.zones.is_shunned(zone);
+        let cut_off = |zone: &str| self.zones.is_zone_cut_off(zone);
         let kinds = self.kinds(&class.spec);
         let elsewhere = kinds.iter().any(|(t, _)| {
             let mut zones = self.types[*t].zones.iter();
-            zones.any(|z| !shunned(z) && class.spec.zone.as_ref().is_none_or(|only| only == z))
+            zones.any(|z| !cut_off(z) && class.spec.zone.as_ref().is_none_or(|only| only == z))
         });
         let mut best: Option<(f64, u32, PoolKey, f64, u32)> = None;
-        for (type_ix, spot) in kinds {
-            let t = &self.types[type_ix];
-            let per_machine = tasks_that_fit(class.amount, self.capacity_of(type_ix));
-            if per_machine < 1.0 || self.unit_price(type_ix, spot) > limit {
+        for (type_index, spot) in kinds {
+            let t = &self.types[type_index];
+            let per_machine = tasks_that_fit(class.amount, self.capacity_of(type_index));
+            if per_machine < 1.0 || self.unit_price(type_index, spot) > limit {
                 continue;
             }
             let each = if spot { t.spot_price } else { t.price };
             let cost = (left / per_machine).ceil() * each;
             for zone in &t.zones {
                 if class.spec.zone.as_ref().is_some_and(|z| z != zone)
-                    || (elsewhere && shunned(zone))
+                    || (elsewhere && cut_off(zone))
                 {
                     continue;
                 }
                 let pool = PoolKey {
-                    type_ix,
+                    type_index,
                     spot,
                     zone: zone.as_str().into(),
                 };
@@ -252,19 +255,19 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    pub(crate) fn unit_price(&self, type_ix: usize, spot: bool) -> f64 {
-        let t = &self.types[type_ix];
+    pub(crate) fn unit_price(&self, type_index: usize, spot: bool) -> f64 {
+        let t = &self.types[type_index];
         let price = if spot { t.spot_price } else { t.price };
         price / t.cpus.max(1.0)
     }
 
     pub(super) fn kinds(&self, spec: &Submission) -> Vec<(usize, bool)> {
         let mut kinds = Vec::new();
-        for (ix, t) in self.types.iter().enumerate() {
+        for (index, t) in self.types.iter().enumerate() {
             if type_allowed(spec, t) {
-                kinds.push((ix, false));
+                kinds.push((index, false));
                 if spec.spot {
-                    kinds.push((ix, true));
+                    kinds.push((index, true));
                 }
             }
         }
--- a/src/autoscale/wanted.rs
+++ b/src/autoscale/demand.rs
@@ -4,18 +4,18 @@
 use std::rc::Rc;
 
 use super::{
-    BACKLOG_BOOTS, BACKLOG_SHARE, CHEAP, Class, DEADLINE_SLACK_MIN, KEEP_SHARE, OVERLOOKED,
+    BACKLOG_BOOTS, BACKLOG_SHARE, CHEAP, Class, DEADLINE_SLACK_MIN, Demand, KEEP_SHARE, OVERLOOKED,
     OVERLOOKED_MAX, Pool, PoolKey, QUEUE_SHARE, TIGHT_BOOTS, TURNOVER_SHARE, Unit, WAIT_SHARE,
-    Want, tasks_that_fit,
+    tasks_that_fit,
 };
-use crate::book::Job;
-use crate::expect::class_name;
-use crate::lead::Lead;
+use crate::arrivals::class_name;
+use crate::jobs::Job;
+use crate::leader::Leader;
 use crate::rt::Time;
 use crate::scheduler::BEGIN_S;
 use crate::wire::Submission;
 
-impl Lead {
+impl Leader {
     /// How soon tasks of a class should start.
     pub(crate) fn tightest_wait(&self, spec: &Submission) -> f64 {
         let team_has_guarantee = self
@@ -55,7 +55,7 @@
     }
 
     /// For how many tasks of a class at once there should be machines.
-    pub(super) fn want(&self, class: &Class, now: Time) -> Want {
+    pub(super) fn want(&self, class: &Class, now: Time) -> Demand {
         let spec = &class.spec;
         let boot_s = self
             .kinds(spec)
@@ -115,7 +115,7 @@
         // Never nothing: what waits must run some time, however little it is. And never more than
         // there is: at a start all of a crowd once asked for three times as much.
         let bounded = |tasks: f64| tasks.min(full).round().max(needed.min(1.0));
-        Want {
+        Demand {
             full: full.ceil(),
             lean: bounded(lean),
             rent: bounded(rent),
@@ -144,7 +144,7 @@
             .values()
             .filter(|m| !m.leaving && !m.suspect && m.notice.is_none())
             .filter(|m| {
-                m.type_ix.is_some_and(|t| {
+                m.type_index.is_some_and(|t| {
                     let per_machine = tasks_that_fit(class.amount, self.capacity_of(t));
                     per_machine >= 1.0 && self.unit_price(t, m.spot) <= cheapest * CHEAP
                 })
@@ -153,7 +153,7 @@
         let oldest = self
             .active
             .iter()
-            .map(|ix| &self.jobs[ix])
+            .map(|index| &self.jobs[index])
             .filter(|j| *j.class == name)
             .map(|j| now - j.since)
             .filter(|age| *age < wait)
@@ -197,7 +197,7 @@
     /// Whether everything that a job waits for has begun.
     fn is_next_step(&self, job: &Job) -> bool {
         let needs = job.spec.waits_on.iter();
-        let mut known = needs.filter_map(|id| self.jobs.get(&self.job_ix(id)?));
+        let mut known = needs.filter_map(|id| self.jobs.get(&self.job_index(id)?));
         known.all(|need| !need.waits)
     }
 
@@ -209,7 +209,11 @@
             let begun = job.bound + job.done > 0;
             !begun && job.not_before <= now && now - job.since > BEGIN_S * OVERLOOKED
         };
-        let jobs = self.active.iter().map(|ix| &self.jobs[ix]).filter(waits);
+        let jobs = self
+            .active
+            .iter()
+            .map(|index| &self.jobs[index])
+            .filter(waits);
         let mut found: Vec<(Rc<str>, Class)> = jobs
             .filter_map(|job| {
                 let class = self.classes.get(&*job.class)?;
@@ -243,10 +247,10 @@
         }
         let kinds = self.kinds(spec);
         let mut zones: BTreeMap<&str, f64> = BTreeMap::new();
-        for (type_ix, spot) in &kinds {
-            for zone in &self.types[*type_ix].zones {
+        for (type_index, spot) in &kinds {
+            for zone in &self.types[*type_index].zones {
                 let pool = PoolKey {
-                    type_ix: *type_ix,
+                    type_index: *type_index,
                     spot: *spot,
                     zone: zone.as_str().into(),
                 };
@@ -257,10 +261,10 @@
         }
         for unit in units
             .iter()
-            .filter(|u| kinds.contains(&(u.type_ix, u.spot)))
+            .filter(|u| kinds.contains(&(u.type_index, u.spot)))
         {
             if let Some(room) = zones.get_mut(&*unit.zone) {
-                *room += tasks_that_fit(job.amount(), self.capacity_of(unit.type_ix));
+                *room += tasks_that_fit(job.amount(), self.capacity_of(unit.type_index));
             }
         }
         if zones.len() < 2 {
--- a/src/autoscale/letting_go.rs
+++ b/src/autoscale/scale_down.rs
@@ -1,11 +1,11 @@
 //! Machines that are lost or not needed any more.
 
 use super::{CHARGED_S, DISTRUST, HEARING_REPORTS, MOVE_ROOM, Unit};
-use crate::book::MachineIx;
-use crate::lead::Lead;
+use crate::jobs::MachineIndex;
+use crate::leader::Leader;
 use crate::rt::Time;
 
-impl Lead {
+impl Leader {
     /// Machines that died, never came up, fail their tasks or are no longer heard of.
     pub(super) fn find_lost(&mut self, now: Time) {
         let w = &self.config.deployment.workers;
@@ -28,17 +28,17 @@
         let mute = self.is_mute();
         let doubt_s = self.doubt_s();
         let mut lost = Vec::new();
-        for (ix, m) in &self.fleet.machines {
+        for (index, m) in &self.fleet.machines {
             if m.leaving {
                 continue;
             }
-            let boot_s = m.type_ix.map_or(w.lease_s, |t| self.types[t].boot_s);
+            let boot_s = m.type_index.map_or(w.lease_s, |t| self.types[t].boot_s);
             let gone = if m.suspect {
                 m.slots
                     .values()
                     .all(|s| s.over || s.running_since.is_none())
                     || now - m.cool_until > w.lease_s
-            } else if m.is_haunted(now, doubt_s) {
+            } else if m.has_launch_in_doubt(now, doubt_s) {
                 true
             } else if let Some(since) = m.deaf_since {
                 // What is on it ends with its worker's lease: nothing renews that.
@@ -54,49 +54,49 @@
                 (trusted || long) && self.is_silent(m, now)
             } else if let Some(up_at) = m.listed_running {
                 trusted && self.silent_s(up_at.max(self.began), now) > silent_s
-            } else if m.listed_at.is_some() || m.type_ix.is_some() {
+            } else if m.listed_at.is_some() || m.type_index.is_some() {
                 now - m.rented > boot_s * t.lost_boots
             } else {
                 // Known only from a former leader's notes.
                 trusted && self.silent_s(self.began, now) > silent_s
             };
             if gone {
-                lost.push(*ix);
+                lost.push(*index);
             }
         }
-        for ix in lost {
-            self.give_back(ix, "lost");
+        for index in lost {
+            self.give_back(index, "lost");
         }
         if trusted {
             self.watch_zones(now);
         }
     }
 
-    pub(super) fn give_back(&mut self, ix: MachineIx, why: &str) {
-        if let Some(m) = self.fleet.machines.get_mut(&ix)
+    pub(super) fn give_back(&mut self, index: MachineIndex, why: &str) {
+        if let Some(m) = self.fleet.machines.get_mut(&index)
             && !m.leaving
         {
             tracing::info!("returning {}: {why}", m.name);
             m.leaving = true;
-            self.cloud.deletes.push(ix);
+            self.cloud.deletes.push(index);
         }
     }
 
     /// Drains and returns machines that have not been needed for a while.
-    pub(super) fn let_go(&mut self, units: &[Unit], now: Time) {
+    pub(super) fn scale_down(&mut self, units: &[Unit], now: Time) {
         let idle_ratio = self.config.tunables.idle_ratio;
         let mut back = Vec::new();
         let mut moves = Vec::new();
         // What is free on machines that stay.
         let stay = units.iter().filter(|u| u.taken && u.up && !u.large);
         let mut free = stay
-            .filter_map(|u| self.fleet.machines.get(&u.ix?))
+            .filter_map(|u| self.fleet.machines.get(&u.index?))
             .map(|m| (m.capacity.cpus - m.used.cpus).max(0.0))
             .sum::<f64>()
             * MOVE_ROOM;
         for unit in units {
-            let Some(ix) = unit.ix else { continue };
-            let Some(m) = self.fleet.machines.get_mut(&ix) else {
+            let Some(index) = unit.index else { continue };
+            let Some(m) = self.fleet.machines.get_mut(&index) else {
                 continue;
             };
             if unit.taken {
@@ -104,41 +104,41 @@
                 continue;
             }
             let since = *m.surplus_since.get_or_insert(now);
-            if !m.is_up() || now - since < self.types[unit.type_ix].boot_s * idle_ratio {
+            if !m.is_up() || now - since < self.types[unit.type_index].boot_s * idle_ratio {
                 continue;
             }
             let paid = now - m.rented > CHARGED_S * 0.95;
             if m.is_empty() {
                 if paid && m.slots.is_empty() {
-                    back.push(ix);
+                    back.push(index);
                 }
             } else {
                 // Nothing new goes there, so that it can be returned.
                 m.draining = true;
                 if paid && m.used.cpus <= free && m.all_saves(&self.jobs) {
                     free -= m.used.cpus;
-                    moves.push(ix);
+                    moves.push(index);
                 }
             }
         }
-        for ix in moves {
-            self.move_off(ix);
+        for index in moves {
+            self.move_off(index);
         }
-        for ix in back {
-            self.give_back(ix, "not needed");
+        for index in back {
+            self.give_back(index, "not needed");
         }
     }
 
     /// Lets what runs on a machine save, to go on elsewhere. At the end of a day a single long task
     /// on each of a hundred machines once held them all for minutes.
-    pub(super) fn move_off(&mut self, ix: MachineIx) {
-        let Some(m) = self.fleet.machines.get_mut(&ix) else {
+    pub(super) fn move_off(&mut self, index: MachineIndex) {
+        let Some(m) = self.fleet.machines.get_mut(&index) else {
             return;
         };
         for (key, slot) in m.slots.iter_mut().filter(|(_, s)| !s.over) {
             slot.stop.get_or_insert(self.jobs[&key.job].spec.save_s);
         }
         m.direct_wanted = true;
-        self.fleet.calls.insert(ix);
+        self.fleet.calls.insert(index);
     }
 }
--- a/src/cluster.rs
+++ b/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Links between controllers: short greetings in CBOR. They speed things up; no safety rests on
+//! Links between controllers: short heartbeats in CBOR. They speed things up; no safety rests on
 //! them.
 
 use std::cell::RefCell;
@@ -7,13 +7,13 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::arrivals::{ArrivalForecast, Mean};
 use crate::config::Peer;
-use crate::expect::{Expected, Mean};
 use crate::rt::{Listener, Rt, Scope, Stream, Time};
 
 /// What controllers tell one another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Greeting {
+pub struct Heartbeat {
     pub host: String,
     /// Seconds since the state service last answered, if it ever did.
     pub state_s: Option<f64>,
@@ -62,42 +62,42 @@
         workers.values().map(|(_, w)| w.clone()).collect()
     }
 
-    fn note(&self, greeting: Greeting, now: Time) {
+    fn note(&self, heartbeat: Heartbeat, now: Time) {
         let mut heard = self.heard.borrow_mut();
-        heard.insert(greeting.host, (now, greeting.state_s));
+        heard.insert(heartbeat.host, (now, heartbeat.state_s));
         let mut workers = self.workers.borrow_mut();
         if workers.len() > WORKERS_KEPT {
             workers.clear();
         }
-        for worker in greeting.workers {
+        for worker in heartbeat.workers {
             workers.insert(worker.machine.clone(), (now, worker));
         }
     }
 }
 
-/// Workers told of in one greeting; a whole fleet would be too large for a frame.
+/// Workers told of in one heartbeat; a whole fleet would be too large for a frame.
 pub const WORKERS_TOLD: usize = 256;
 /// Workers remembered that others told of.
 const WORKERS_KEPT: usize = 16 * 1024;
-/// Largest greeting taken.
+/// Largest heartbeat taken.
 const FRAME_MAX: usize = 64 * 1024;
 /// Links from others at once, per known controller.
 pub const LINKS_PER_PEER: usize = 4;
 /// A link is given up after so many intervals without a word.
 const SILENT_INTERVALS: f64 = 5.0;
 
-/// Makes the greeting of the moment.
-pub type Greeter = Box<dyn Fn() -> Greeting>;
+/// Makes the heartbeat of the moment.
+pub type HeartbeatSource = Box<dyn Fn() -> Heartbeat>;
 
-fn encode(greeting: &Greeting) -> Option<Vec<u8>> {
+fn encode(heartbeat: &Heartbeat) -> Option<Vec<u8>> {
     let mut frame = vec![0; 4];
-    ciborium::into_writer(greeting, &mut frame).ok()?;
+    ciborium::into_writer(heartbeat, &mut frame).ok()?;
     let len = u32::try_from(frame.len() - 4).ok()?;
     frame[..4].copy_from_slice(&len.to_be_bytes());
     Some(frame)
 }
 
-async fn receive(stream: &mut Stream) -> Option<Greeting> {
+async fn receive(stream: &mut Stream) -> Option<Heartbeat> {
     let mut head = [0; 4];
     read_exact(stream, &mut head).await?;
     let len = u32::from_be_bytes(head) as usize;
@@ -117,14 +117,14 @@
     Some(())
 }
 
-/// Takes greetings from other controllers.
+/// Takes heartbeats from other controllers.
 pub async fn listen(
     rt: Rt,
     mut listener: Listener,
     known: usize,
     every_s: f64,
     peers: Rc<Peers>,
-    expected: Rc<RefCell<Expected>>,
+    expected: Rc<RefCell<ArrivalForecast>>,
 ) {
     let scope = Scope::new(&rt);
     loop {
@@ -152,21 +152,21 @@
     mut stream: Stream,
     every_s: f64,
     peers: Rc<Peers>,
-    expected: Rc<RefCell<Expected>>,
+    expected: Rc<RefCell<ArrivalForecast>>,
 ) {
     let patience = every_s * SILENT_INTERVALS;
-    while let Ok(Some(greeting)) = rt.timeout(patience, receive(&mut stream)).await {
-        expected.borrow_mut().learn(&greeting.runs);
-        peers.note(greeting, rt.now());
+    while let Ok(Some(heartbeat)) = rt.timeout(patience, receive(&mut stream)).await {
+        expected.borrow_mut().learn(&heartbeat.runs);
+        peers.note(heartbeat, rt.now());
     }
 }
 
 /// Greets another controller, again and again.
-pub async fn greet(rt: Rt, peer: Peer, every_s: f64, greeter: Greeter) {
+pub async fn send_heartbeats(rt: Rt, peer: Peer, every_s: f64, source: HeartbeatSource) {
     let patience = every_s * SILENT_INTERVALS;
     loop {
         if let Ok(Ok(mut stream)) = rt.timeout(patience, rt.connect(peer.addr)).await {
-            while let Some(frame) = encode(&greeter()) {
+            while let Some(frame) = encode(&source()) {
                 let sent = rt.timeout(patience, stream.write_all(&frame)).await;
                 if !matches!(sent, Ok(Ok(()))) {
                     break;
--- a/src/cluster/tests.rs
+++ b/src/cluster/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn greetings_survive_the_wire_and_grow_old() {
-    let greeting = Greeting {
+    let heartbeat = Heartbeat {
         host: "n1".into(),
         state_s: Some(0.5),
         workers: vec![WorkerSeen {
@@ -15,11 +15,11 @@
         }],
         runs: Vec::new(),
     };
-    let frame = encode(&greeting).unwrap();
-    let back: Greeting = ciborium::from_reader(&frame[4..]).unwrap();
-    assert_eq!(back, greeting);
+    let frame = encode(&heartbeat).unwrap();
+    let back: Heartbeat = ciborium::from_reader(&frame[4..]).unwrap();
+    assert_eq!(back, heartbeat);
     let peers = Peers::default();
-    peers.note(greeting, 10.0);
+    peers.note(heartbeat, 10.0);
     assert!(peers.any_has_state(11.0, 3.0));
     assert!(!peers.any_has_state(12.9, 3.0));
     assert_eq!(peers.workers(11.0, 3.0).len(), 1);
--- a/src/config.rs
+++ b/src/config.rs
@@ -7,7 +7,7 @@
 
 use crate::wire::Submission;
 
-/// Why settings can't be used.
+/// ExitReason settings can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     #[error("{path}: {source}")]
--- a/src/election.rs
+++ b/src/election.rs
@@ -5,7 +5,7 @@
 use serde_json::value::to_raw_value;
 
 use crate::config::Config;
-use crate::lead::TxnOutcome;
+use crate::leader::TxnOutcome;
 use crate::rt::{Rt, Time};
 use crate::store::{Renewal, Store};
 use crate::view::{LeaderRecord, key};
@@ -40,7 +40,7 @@
 
 /// Whether another controller should rather lead. Workers that can't reach their controller try the
 /// next one, which takes them several seconds each: when the zones can't reach each other they are
-/// kept by a stand-in only if that one is in another zone than the leader.
+/// kept by a delegate only if that one is in another zone than the leader.
 pub fn prefers_others(config: &Config) -> bool {
     let own = (config.node.as_str(), config.zone.as_str());
     let peers = config.peers.iter();
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -4,23 +4,23 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use crate::book::{Job, JobIx, MachineIx, Task};
 use crate::images::{Cache, Images};
-use crate::lead::{Lead, job_task, split_task};
+use crate::jobs::{Job, JobIndex, MachineIndex, Task};
+use crate::leader::{Leader, job_task, split_task};
 use crate::pricing::Amount;
 use crate::rt::Time;
-use crate::wire::{Command, Kind, MachineType, Report, TaskState, Why};
+use crate::wire::{Command, ExitReason, Kind, MachineType, Report, TaskState};
 
 /// A task's attempt on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SlotKey {
-    pub job: JobIx,
+    pub job: JobIndex,
     pub task: u32,
     pub attempt: u64,
 }
 
-impl From<(JobIx, u32, u64)> for SlotKey {
-    fn from((job, task, attempt): (JobIx, u32, u64)) -> Self {
+impl From<(JobIndex, u32, u64)> for SlotKey {
+    fn from((job, task, attempt): (JobIndex, u32, u64)) -> Self {
         SlotKey { job, task, attempt }
     }
 }
@@ -52,7 +52,7 @@
 /// A direct message to a worker.
 #[derive(Debug, Clone)]
 pub struct DirectMessage {
-    pub machine: MachineIx,
+    pub machine: MachineIndex,
     pub addr: SocketAddr,
     pub session: u64,
     pub commands: Vec<Command>,
@@ -95,8 +95,8 @@
 
     /// Whether a late or repeated direct launch could bring the attempt back once it is reaped.
     /// One that completed does no harm: it completes again.
-    fn may_return(&self, why: Why) -> bool {
-        self.in_doubt() || (self.direct.is_some() && why != Why::Done)
+    fn may_return(&self, why: ExitReason) -> bool {
+        self.in_doubt() || (self.direct.is_some() && why != ExitReason::Done)
     }
 }
 
@@ -114,7 +114,7 @@
 pub struct Machine {
     pub name: Rc<str>,
     pub addr: Option<SocketAddr>,
-    pub type_ix: Option<usize>,
+    pub type_index: Option<usize>,
     pub zone: Rc<str>,
     pub spot: bool,
     pub capacity: Amount,
@@ -156,7 +156,7 @@
     pub surplus_since: Option<Time>,
     /// Failures in a row, and the jobs whose tasks failed.
     pub errors: u32,
-    pub error_jobs: HashSet<JobIx>,
+    pub error_jobs: HashSet<JobIndex>,
     pub cool_until: Time,
     /// Images that it holds or fetches.
     pub images: Images,
@@ -192,7 +192,7 @@
         Machine {
             name,
             addr: None,
-            type_ix: None,
+            type_index: None,
             zone,
             spot: false,
             capacity: Amount::default(),
@@ -244,7 +244,7 @@
 
     /// Whether a direct launch that had no answer may yet start something that must not run: only
     /// the machine's end tells that it won't.
-    pub fn is_haunted(&self, now: Time, within_s: f64) -> bool {
+    pub fn has_launch_in_doubt(&self, now: Time, within_s: f64) -> bool {
         self.slots.values().any(|s| {
             s.direct == Some(DirectLaunch::Unanswered)
                 && s.state.is_none()
@@ -260,7 +260,7 @@
     }
 
     /// Whether all that is on it runs, can save and is not being stopped: it can go on elsewhere.
-    pub fn all_saves(&self, jobs: &BTreeMap<JobIx, Job>) -> bool {
+    pub fn all_saves(&self, jobs: &BTreeMap<JobIndex, Job>) -> bool {
         self.slots.iter().filter(|(_, s)| !s.over).all(|(key, s)| {
             let job = &jobs[&key.job];
             let saves = job.spec.checkpoint_s > 0.0 && !job.is_gang();
@@ -355,45 +355,45 @@
 /// All machines known.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    pub machines: BTreeMap<MachineIx, Machine>,
+    pub machines: BTreeMap<MachineIndex, Machine>,
     /// Machines that a direct message may be wanted for.
-    pub calls: BTreeSet<MachineIx>,
-    by_name: HashMap<Rc<str>, MachineIx>,
-    next: MachineIx,
+    pub calls: BTreeSet<MachineIndex>,
+    by_name: HashMap<Rc<str>, MachineIndex>,
+    next: MachineIndex,
 }
 
 impl Fleet {
     /// A machine by its name.
-    pub fn find(&self, name: &str) -> Option<MachineIx> {
+    pub fn find(&self, name: &str) -> Option<MachineIndex> {
         self.by_name.get(name).copied()
     }
 
     /// A machine by its name, entered if it isn't known yet.
-    pub fn enter(&mut self, name: &str, zone: &str, now: Time) -> MachineIx {
-        if let Some(ix) = self.find(name) {
-            return ix;
+    pub fn enter(&mut self, name: &str, zone: &str, now: Time) -> MachineIndex {
+        if let Some(index) = self.find(name) {
+            return index;
         }
-        let ix = self.next;
+        let index = self.next;
         self.next += 1;
         let name: Rc<str> = name.into();
-        self.by_name.insert(name.clone(), ix);
+        self.by_name.insert(name.clone(), index);
         self.machines
-            .insert(ix, Machine::new(name, zone.into(), now));
-        ix
+            .insert(index, Machine::new(name, zone.into(), now));
+        index
     }
 
     /// Strikes a machine off.
-    pub fn remove(&mut self, ix: MachineIx) -> Option<Machine> {
-        let machine = self.machines.remove(&ix)?;
+    pub fn remove(&mut self, index: MachineIndex) -> Option<Machine> {
+        let machine = self.machines.remove(&index)?;
         self.by_name.remove(&machine.name);
         Some(machine)
     }
 }
 
-impl Lead {
+impl Leader {
     /// Takes in a report; returns what its answer should carry in any case, None if it tells nothing
     /// new: it may be a late copy, and its answer carries no commands then. What else the answer to
-    /// a worker's own report carries see [`Lead::answer_commands`].
+    /// a worker's own report carries see [`Leader::answer_commands`].
     pub fn on_report(
         &mut self,
         report: &Report,
@@ -405,15 +405,15 @@
         if self.cloud.is_returned(&report.machine) {
             return None;
         }
-        let ix = self.fleet.enter(&report.machine, &report.zone, now);
-        let type_ix = self.type_by_name(&report.type_name);
-        let capacity = type_ix.map(|t| self.capacity_of(t));
+        let index = self.fleet.enter(&report.machine, &report.zone, now);
+        let type_index = self.type_by_name(&report.type_name);
+        let capacity = type_index.map(|t| self.capacity_of(t));
         let was_open = self
             .fleet
             .machines
-            .get(&ix)
+            .get(&index)
             .is_some_and(|m| self.is_open(m, now));
-        let m = self.fleet.machines.get_mut(&ix)?;
+        let m = self.fleet.machines.get_mut(&index)?;
         let before = (m.used, m.suspect);
         m.addr = report.addr.parse().ok().or(m.addr);
         m.zone = if *m.zone == *report.zone {
@@ -422,8 +422,8 @@
             report.zone.as_str().into()
         };
         m.spot = report.spot;
-        if let (Some(t), Some(capacity)) = (type_ix, capacity) {
-            m.type_ix = Some(t);
+        if let (Some(t), Some(capacity)) = (type_index, capacity) {
+            m.type_index = Some(t);
             m.capacity = capacity;
         }
         m.answered_before = m.answered.is_some();
@@ -467,7 +467,7 @@
                 continue;
             };
             let known = self
-                .job_ix(id)
+                .job_index(id)
                 .filter(|j| task < self.jobs[j].spec.tasks)
                 .map(|job| SlotKey {
                     job,
@@ -479,18 +479,20 @@
             }
             if t.state == TaskState::Exited {
                 let forget = match known {
-                    Some(key) => self.on_exit(ix, key, t.why.unwrap_or(Why::Other), fenced, now),
+                    Some(key) => {
+                        self.on_exit(index, key, t.why.unwrap_or(ExitReason::Other), fenced, now)
+                    }
                     None => fenced,
                 };
                 let kept = |m: &Machine| m.kept.contains(&(t.task.clone(), t.attempt));
-                if forget && !self.fleet.machines.get(&ix).is_some_and(kept) {
+                if forget && !self.fleet.machines.get(&index).is_some_and(kept) {
                     commands.push(Command::Forget {
                         task: t.task.clone(),
                         attempt: t.attempt,
                     });
                 }
             } else if let Some(key) = known {
-                self.on_alive(ix, key, t.state, now);
+                self.on_alive(index, key, t.state, now);
             } else {
                 // Of a job that is over and forgotten.
                 commands.push(Command::Stop {
@@ -500,10 +502,10 @@
                 });
             }
         }
-        self.on_absent(ix, &seen, source, fenced, now);
-        self.heed_notice(ix, now);
+        self.on_absent(index, &seen, source, fenced, now);
+        self.heed_notice(index, now);
         let rule = self.rule;
-        let m = self.fleet.machines.get_mut(&ix)?;
+        let m = self.fleet.machines.get_mut(&index)?;
         if m.capacity.cpus > 0.0 {
             m.price = rule.price_of_load(m.used.largest_share(m.capacity));
         }
@@ -519,12 +521,12 @@
     /// was the newest.
     pub fn answer_commands(&mut self, report: &Report, commands: &mut Vec<Command>) -> bool {
         let newest = |m: &Machine| (m.session, m.seq) == (report.session, report.seq);
-        let Some(ix) = self.fleet.find(&report.machine) else {
+        let Some(index) = self.fleet.find(&report.machine) else {
             return false;
         };
-        let newest = self.fleet.machines.get(&ix).is_some_and(newest);
+        let newest = self.fleet.machines.get(&index).is_some_and(newest);
         if newest {
-            self.write_commands(ix, Source::Checkin, commands);
+            self.write_commands(index, Source::Checkin, commands);
         }
         newest
     }
@@ -536,8 +538,8 @@
         let m = self
             .fleet
             .find(machine)
-            .and_then(|ix| self.fleet.machines.get(&ix));
-        m.is_some_and(|m| m.is_haunted(now, doubt_s))
+            .and_then(|index| self.fleet.machines.get(&index));
+        m.is_some_and(|m| m.has_launch_in_doubt(now, doubt_s))
     }
 
     /// For how long a launch of something that is over may be in doubt: then its machine goes, and its
@@ -555,10 +557,10 @@
     /// behind a cut from the log alone once took their first session for a later one, and started all of their tasks
     /// elsewhere.
     pub(crate) fn on_session(&mut self, machine: &str, session: u64, now: Time) {
-        let Some(ix) = self.fleet.find(machine) else {
+        let Some(index) = self.fleet.find(machine) else {
             return;
         };
-        let Some(m) = self.fleet.machines.get_mut(&ix) else {
+        let Some(m) = self.fleet.machines.get_mut(&index) else {
             return;
         };
         let earlier = m.fenced_session;
@@ -571,7 +573,7 @@
         m.kept.clear();
         let gone: Vec<SlotKey> = m.slots.keys().copied().collect();
         for key in gone {
-            self.off(ix, key, now);
+            self.off(index, key, now);
         }
     }
 
@@ -583,13 +585,13 @@
     /// A task ended; whether it may be reaped.
     pub(crate) fn on_exit(
         &mut self,
-        ix: MachineIx,
+        index: MachineIndex,
         key: SlotKey,
-        why: Why,
+        why: ExitReason,
         fenced: bool,
         now: Time,
     ) -> bool {
-        let Some(m) = self.fleet.machines.get_mut(&ix) else {
+        let Some(m) = self.fleet.machines.get_mut(&index) else {
             return false;
         };
         let known = m.slots.get(&key).cloned();
@@ -603,7 +605,7 @@
             m.kept.insert((name, key.attempt));
         }
         // A service's task is never done: one that exits starts anew.
-        if why == Why::Done && self.jobs[&key.job].spec.kind != Kind::Service {
+        if why == ExitReason::Done && self.jobs[&key.job].spec.kind != Kind::Service {
             m.finish_slot(&key);
             m.errors = 0;
             m.error_jobs.clear();
@@ -617,27 +619,30 @@
             return job.ended.is_some() || job.done_is_stored(key.task);
         }
         if known.is_some() {
-            if matches!(why, Why::Error | Why::Other | Why::Unknown) {
-                self.on_task_error(key.job, ix, now);
+            if matches!(
+                why,
+                ExitReason::Error | ExitReason::Other | ExitReason::NoSuchTask
+            ) {
+                self.on_task_error(key.job, index, now);
             }
-            if why == Why::Busy
+            if why == ExitReason::InUse
                 && let Some(job) = self.jobs.get_mut(&key.job)
             {
                 // Another attempt, perhaps one that must not be reaped, is in the way there.
-                job.failed_on.insert(ix);
+                job.failed_on.insert(index);
             }
-            self.off(ix, key, now);
+            self.off(index, key, now);
         }
         true
     }
 
-    fn on_alive(&mut self, ix: MachineIx, key: SlotKey, state: TaskState, now: Time) {
+    fn on_alive(&mut self, index: MachineIndex, key: SlotKey, state: TaskState, now: Time) {
         let job = &self.jobs[&key.job];
         let bound_here = matches!(job.task(key.task),
-            Task::Bound { machine, attempt, .. } if machine == ix && attempt == key.attempt);
+            Task::Bound { machine, attempt, .. } if machine == index && attempt == key.attempt);
         let ended = job.ended.is_some();
         let amount = job.amount();
-        let Some(m) = self.fleet.machines.get_mut(&ix) else {
+        let Some(m) = self.fleet.machines.get_mut(&index) else {
             return;
         };
         if !m.slots.contains_key(&key) {
@@ -655,7 +660,7 @@
             m.add_slot(key, stray);
             self.slot_added(key.job);
         }
-        let Some(m) = self.fleet.machines.get_mut(&ix) else {
+        let Some(m) = self.fleet.machines.get_mut(&index) else {
             return;
         };
         let Some(slot) = m.slots.get_mut(&key) else {
@@ -665,30 +670,30 @@
             slot.running_since = Some(now);
         }
         if slot.state.replace(state) != Some(state)
-            && let Some(type_ix) = m.type_ix
+            && let Some(type_index) = m.type_index
         {
             let spec = &self.jobs[&key.job].spec;
             let here = state != TaskState::Fetching;
-            let cache = cache_of(&self.types[type_ix]);
+            let cache = cache_of(&self.types[type_index]);
             m.images.see(&spec.image, spec.image_gb, here, cache, now);
         }
         if (ended || !bound_here) && slot.stop.is_none() {
             slot.stop = Some(0.0);
             m.direct_wanted = true;
-            self.fleet.calls.insert(ix);
+            self.fleet.calls.insert(index);
         }
     }
 
     /// Looks at what should be on a machine and isn't in its newer report.
     fn on_absent(
         &mut self,
-        ix: MachineIx,
+        index: MachineIndex,
         seen: &HashSet<SlotKey>,
         source: Source,
         fenced: bool,
         now: Time,
     ) {
-        let Some(m) = self.fleet.machines.get_mut(&ix) else {
+        let Some(m) = self.fleet.machines.get_mut(&index) else {
             return;
         };
         let mut off = Vec::new();
@@ -722,16 +727,16 @@
             }
         }
         for key in off {
-            self.off(ix, key, now);
+            self.off(index, key, now);
         }
     }
 
     /// A task is surely off a machine.
-    pub(crate) fn off(&mut self, ix: MachineIx, key: SlotKey, now: Time) {
+    pub(crate) fn off(&mut self, index: MachineIndex, key: SlotKey, now: Time) {
         let Some(slot) = self
             .fleet
             .machines
-            .get_mut(&ix)
+            .get_mut(&index)
             .and_then(|m| m.drop_slot(&key))
         else {
             return;
@@ -742,14 +747,14 @@
             return;
         }
         if matches!(slot.state, None | Some(TaskState::Fetching)) {
-            self.image_unwanted(ix, key.job);
+            self.image_unwanted(index, key.job);
         }
         self.use_team(key.job, -1.0);
         if self.jobs[&key.job].is_gang() {
             self.judge_attempt(key.job);
         }
         let bound_here = matches!(self.jobs[&key.job].task(key.task),
-            Task::Bound { machine, attempt, .. } if machine == ix && attempt == key.attempt);
+            Task::Bound { machine, attempt, .. } if machine == index && attempt == key.attempt);
         if bound_here {
             if let Some(job) = self.jobs.get_mut(&key.job) {
                 job.unbind(key.task);
@@ -763,9 +768,9 @@
 
     /// A task came off a machine before it had its image: if no other there waits for it, the fetch
     /// is given up.
-    fn image_unwanted(&mut self, ix: MachineIx, job: JobIx) {
+    fn image_unwanted(&mut self, index: MachineIndex, job: JobIndex) {
         let image = &self.jobs[&job].spec.image;
-        if let Some(m) = self.fleet.machines.get_mut(&ix)
+        if let Some(m) = self.fleet.machines.get_mut(&index)
             && !m
                 .slots
                 .keys()
@@ -776,10 +781,10 @@
     }
 
     /// Adds the commands a worker is to have now.
-    fn write_commands(&mut self, ix: MachineIx, source: Source, commands: &mut Vec<Command>) {
+    fn write_commands(&mut self, index: MachineIndex, source: Source, commands: &mut Vec<Command>) {
         let fits = |commands: &Vec<Command>| commands.len() < COMMANDS_MAX;
         let token = self.token;
-        let Some(m) = self.fleet.machines.get_mut(&ix) else {
+        let Some(m) = self.fleet.machines.get_mut(&index) else {
             return;
         };
         m.direct_wanted = false;
@@ -828,13 +833,13 @@
     /// A worker that some controller saw lately is to be called on: that fences off a former
     /// leader there, and its report comes back at once.
     pub fn call_on(&mut self, name: &str, zone: &str, addr: &str, session: u64, now: Time) {
-        let ix = self.fleet.enter(name, zone, now);
-        if let Some(m) = self.fleet.machines.get_mut(&ix) {
+        let index = self.fleet.enter(name, zone, now);
+        if let Some(m) = self.fleet.machines.get_mut(&index) {
             m.addr = m.addr.or_else(|| addr.parse().ok());
             if m.heard.is_none() {
                 m.session = m.session.max(session);
                 m.direct_wanted = true;
-                self.fleet.calls.insert(ix);
+                self.fleet.calls.insert(index);
             }
         }
     }
@@ -842,15 +847,15 @@
     /// Direct messages to send now, `most` at the most.
     pub fn directs(&mut self, now: Time, gap_s: f64, most: usize) -> Vec<DirectMessage> {
         let machines = &self.fleet.machines;
-        self.fleet.calls.retain(|ix| {
-            let m = machines.get(ix);
+        self.fleet.calls.retain(|index| {
+            let m = machines.get(index);
             m.is_some_and(|m| (m.launch_wanted || m.direct_wanted) && !m.leaving)
         });
         let calls = self.fleet.calls.iter();
-        let due: Vec<(MachineIx, SocketAddr, u64)> = calls
-            .filter_map(|ix| Some((*ix, machines.get(ix)?)))
+        let due: Vec<(MachineIndex, SocketAddr, u64)> = calls
+            .filter_map(|index| Some((*index, machines.get(index)?)))
             .filter(|(_, m)| !m.direct_live && (m.launch_wanted || now - m.direct_tried > gap_s))
-            .filter_map(|(ix, m)| Some((ix, m.addr?, m.session)))
+            .filter_map(|(index, m)| Some((index, m.addr?, m.session)))
             .take(most)
             .collect();
         let mut messages = Vec::new();
@@ -874,7 +879,7 @@
     }
 
     /// Takes in what became of a direct message.
-    pub fn on_direct(&mut self, machine: MachineIx, outcome: DirectOutcome, now: Time) {
+    pub fn on_direct(&mut self, machine: MachineIndex, outcome: DirectOutcome, now: Time) {
         let Some(m) = self.fleet.machines.get_mut(&machine) else {
             return;
         };
@@ -916,8 +921,8 @@
 
     /// Notes that a launch may go out: directly, if waiting for the machine's next report would
     /// take a good part of the time in which its job is to start.
-    pub(crate) fn launch_ready(&mut self, ix: JobIx, task: u32, now: Time) {
-        let Some(job) = self.jobs.get(&ix) else {
+    pub(crate) fn launch_ready(&mut self, index: JobIndex, task: u32, now: Time) {
+        let Some(job) = self.jobs.get(&index) else {
             return;
         };
         let Task::Bound { machine, .. } = job.task(task) else {
@@ -939,8 +944,8 @@
     }
 
     /// Lets what can save do so before the cloud takes the machine.
-    fn heed_notice(&mut self, ix: MachineIx, now: Time) {
-        let Some(m) = self.fleet.machines.get_mut(&ix) else {
+    fn heed_notice(&mut self, index: MachineIndex, now: Time) {
+        let Some(m) = self.fleet.machines.get_mut(&index) else {
             return;
         };
         let Some(taken_at) = m.notice else {
@@ -961,7 +966,7 @@
             } else {
                 slot.stop = Some(job.spec.save_s);
                 m.direct_wanted = true;
-                self.fleet.calls.insert(ix);
+                self.fleet.calls.insert(index);
             }
         }
         for job in gangs {
@@ -974,7 +979,7 @@
     /// silent or deaf machine was never told of can go elsewhere sooner.
     pub fn expire(&mut self, now: Time) {
         let mut off = Vec::new();
-        for (ix, m) in self
+        for (index, m) in self
             .fleet
             .machines
             .iter()
@@ -986,14 +991,14 @@
             // Others may have answered in this leader's name.
             let last = last.max(self.zones.answered_until(&m.zone, now));
             if now - last > self.off_after_s {
-                off.extend(m.slots.keys().map(|k| (*ix, *k)));
+                off.extend(m.slots.keys().map(|k| (*index, *k)));
             } else if self.is_quiet(m, now) || m.deaf_since.is_some() {
                 let unsent = m.slots.iter().filter(|(_, s)| s.is_unsent());
-                off.extend(unsent.map(|(k, _)| (*ix, *k)));
+                off.extend(unsent.map(|(k, _)| (*index, *k)));
             }
         }
-        for (ix, key) in off {
-            self.off(ix, key, now);
+        for (index, key) in off {
+            self.off(index, key, now);
         }
     }
 
@@ -1015,15 +1020,15 @@
     }
 
     /// A machine and all that is on it is gone.
-    pub(crate) fn machine_gone(&mut self, ix: MachineIx, now: Time) {
-        let keys: Vec<SlotKey> = match self.fleet.machines.get(&ix) {
+    pub(crate) fn machine_gone(&mut self, index: MachineIndex, now: Time) {
+        let keys: Vec<SlotKey> = match self.fleet.machines.get(&index) {
             Some(m) => m.slots.keys().copied().collect(),
             None => return,
         };
         for key in keys {
-            self.off(ix, key, now);
+            self.off(index, key, now);
         }
-        self.fleet.remove(ix);
+        self.fleet.remove(index);
         self.changed = true;
     }
 }
--- a/src/graph.rs
+++ b/src/graph.rs
@@ -7,7 +7,7 @@
 
 /// How a job stands, by what is stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum JobOutcome {
     /// It is not over.
     Open,
     /// Its end is stored as done.
@@ -18,7 +18,7 @@
 
 /// What an end or a new job brought about.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Moved {
+pub struct ReadinessChanges {
     /// Jobs that wait for nothing any more.
     pub ready: Vec<Rc<str>>,
     /// Jobs that are cancelled, as one that they need is.
@@ -34,18 +34,18 @@
     dependents: HashMap<Rc<str>, Vec<Rc<str>>>,
     /// Jobs that are cancelled by what they need and have no end of their own.
     cancelled: HashSet<Rc<str>>,
-    moved: Moved,
+    moved: ReadinessChanges,
 }
 
 impl Graph {
     /// Adds a job that needs others, each of which was accepted before; `standing` tells how these are.
-    pub fn add(&mut self, id: &Rc<str>, needs: &[String], standing: impl Fn(&str) -> Standing) {
+    pub fn add(&mut self, id: &Rc<str>, needs: &[String], standing: impl Fn(&str) -> JobOutcome) {
         let mut open = 0;
         for need in needs {
             match standing(need) {
-                Standing::Done => {}
-                Standing::Open if !self.cancelled.contains(need.as_str()) => open += 1,
-                Standing::Open | Standing::Cancelled => {
+                JobOutcome::Done => {}
+                JobOutcome::Open if !self.cancelled.contains(need.as_str()) => open += 1,
+                JobOutcome::Open | JobOutcome::Cancelled => {
                     self.cancel(id);
                     return;
                 }
@@ -56,7 +56,7 @@
             return;
         }
         self.open.insert(id.clone(), open);
-        for need in needs.iter().filter(|n| standing(n) == Standing::Open) {
+        for need in needs.iter().filter(|n| standing(n) == JobOutcome::Open) {
             let waiting = self.dependents.entry(need.as_str().into()).or_default();
             waiting.push(id.clone());
         }
@@ -110,7 +110,7 @@
     }
 
     /// What came about since this was last asked.
-    pub fn take_moved(&mut self) -> Moved {
+    pub fn take_changes(&mut self) -> ReadinessChanges {
         std::mem::take(&mut self.moved)
     }
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -339,7 +339,7 @@
         self.resting.borrow_mut().insert(id, entry);
         let ready = self.rt.timeout(self.limits.idle_s, stream.readable());
         let ready = std::pin::pin!(ready);
-        let ended = std::pin::pin!(way.raised());
+        let ended = std::pin::pin!(way.wait());
         let ready = matches!(select(ready, ended).await, Either::Left((Ok(()), _)));
         self.resting.borrow_mut().remove(&id);
         ready
@@ -498,7 +498,7 @@
     }
 }
 
-/// Why a call brought no answer.
+/// ExitReason a call brought no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// Nothing was sent: the request was surely not carried out.
--- a/src/book.rs
+++ b/src/jobs.rs
@@ -3,17 +3,17 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-use crate::expect::class_name;
+use crate::arrivals::class_name;
+use crate::assignment_log::Recorded;
 use crate::pricing::Amount;
 use crate::rt::Time;
-use crate::runlog::Told;
 use crate::view::End;
 use crate::wire::{Kind, Priority, Submission};
 
 /// A job's place in the book.
-pub type JobIx = u32;
+pub type JobIndex = u32;
 /// A machine's place in the fleet.
-pub type MachineIx = u32;
+pub type MachineIndex = u32;
 
 /// Where a task is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     Pending,
     /// It may be on this machine; `told` is the value of the log that says so, 0 if none does yet.
     Bound {
-        machine: MachineIx,
+        machine: MachineIndex,
         attempt: u64,
         told: u64,
     },
@@ -63,9 +63,9 @@
     /// Not to be placed before this moment.
     pub not_before: Time,
     /// Machines on which its tasks failed since one completed.
-    pub failed_on: HashSet<MachineIx>,
+    pub failed_on: HashSet<MachineIndex>,
     /// Machines on which tasks of the present attempt of a gang failed.
-    pub failed_now: HashSet<MachineIx>,
+    pub failed_now: HashSet<MachineIndex>,
     pub backoff_s: f64,
     /// How many of its attempts are or may be on machines, completed ones included.
     pub slots: u32,
@@ -122,7 +122,7 @@
     }
 
     /// The machine that a task may be on with this attempt.
-    pub fn bound_at(&self, task: u32, attempt: u64) -> Option<MachineIx> {
+    pub fn bound_at(&self, task: u32, attempt: u64) -> Option<MachineIndex> {
         match self.tasks.get(task as usize)? {
             Task::Bound {
                 machine,
@@ -156,7 +156,7 @@
     }
 
     /// Notes that a task is to go to a machine, or may be there: `told` by this value of the log.
-    pub fn bind(&mut self, task: u32, machine: MachineIx, attempt: u64, told: u64) {
+    pub fn bind(&mut self, task: u32, machine: MachineIndex, attempt: u64, told: u64) {
         self.tasks[task as usize] = Task::Bound {
             machine,
             attempt,
@@ -197,10 +197,12 @@
     }
 
     /// A value of the log that tells this of a task is stored.
-    pub fn stored(&mut self, task: u32, what: Told, number: u64) {
+    pub fn stored(&mut self, task: u32, what: Recorded, number: u64) {
         match (&mut self.tasks[task as usize], what) {
-            (Task::Bound { attempt, told, .. }, Told::Bound(a)) if *attempt == a => *told = number,
-            (Task::Done { told }, Told::Done) => *told = number,
+            (Task::Bound { attempt, told, .. }, Recorded::Bound(a)) if *attempt == a => {
+                *told = number
+            }
+            (Task::Done { told }, Recorded::Done) => *told = number,
             _ => {}
         }
     }
--- a/src/lead.rs
+++ b/src/leader.rs
@@ -7,15 +7,15 @@
 
 use serde_json::value::to_raw_value;
 
+use crate::arrivals::ArrivalForecast;
+use crate::assignment_log::{AssignmentLog, Recorded, Writer};
 use crate::autoscale::{Class, CloudBook};
-use crate::book::{Job, JobIx, MachineIx, amount};
 use crate::config::Config;
-use crate::expect::Expected;
 use crate::fleet::{Fleet, Slot, SlotKey, cache_of};
 use crate::graph;
+use crate::jobs::{Job, JobIndex, MachineIndex, amount};
 use crate::pricing::{Amount, Rule};
 use crate::rt::{Pause, Time};
-use crate::runlog::{RunLog, Told, Writer};
 use crate::view::{End, EndRecord, JobView, Mark, View, key};
 use crate::wire::{Change, Condition, MachineType, Submission, Txn};
 use crate::zones::Zones;
@@ -67,23 +67,23 @@
     oldest: u64,
     /// Old values of the log that go.
     gone: Vec<u64>,
-    ends: Vec<JobIx>,
-    cleared: Vec<JobIx>,
-    /// Zones whose stand-ins it is about.
+    ends: Vec<JobIndex>,
+    cleared: Vec<JobIndex>,
+    /// Zones whose delegates it is about.
     zones: Vec<Rc<str>>,
 }
 
 /// The tasks that a value of the log tells of, and what.
-type TaskTold = Vec<(JobIx, u32, Told)>;
+type TaskTold = Vec<(JobIndex, u32, Recorded)>;
 
 /// Tasks of a job that the log doesn't tell of as they are, and when it should at the latest.
-struct Dirty {
+struct PendingWrites {
     due: Time,
     tasks: Vec<u32>,
 }
 
 /// The state of a tenure.
-pub struct Lead {
+pub struct Leader {
     pub config: Rc<Config>,
     pub token: u64,
     pub began: Time,
@@ -91,26 +91,26 @@
     pub(crate) rule: Rule,
     pub types: Rc<Vec<MachineType>>,
     pub fleet: Fleet,
-    pub jobs: BTreeMap<JobIx, Job>,
-    by_id: HashMap<Rc<str>, JobIx>,
-    next_job: JobIx,
-    pub(crate) active: BTreeSet<JobIx>,
+    pub jobs: BTreeMap<JobIndex, Job>,
+    by_id: HashMap<Rc<str>, JobIndex>,
+    next_job: JobIndex,
+    pub(crate) active: BTreeSet<JobIndex>,
     pub(crate) team_used: Vec<Amount>,
     pub(crate) classes: HashMap<String, Class>,
-    pub(crate) expected: Rc<RefCell<Expected>>,
+    pub(crate) expected: Rc<RefCell<ArrivalForecast>>,
     pub(crate) cloud: CloudBook,
     /// Something changed that a placement pass should look at.
     pub(crate) changed: bool,
     /// Jobs of which something is to be written.
-    dirty: BTreeMap<JobIx, Dirty>,
-    log: RunLog,
+    dirty: BTreeMap<JobIndex, PendingWrites>,
+    log: AssignmentLog,
     /// When a value of the log was last written.
     logged_at: Time,
     /// Of an end and the log, the end is written next if only one can be.
     end_next: bool,
     next_attempt: u64,
-    ends: BTreeSet<JobIx>,
-    settled: BTreeSet<JobIx>,
+    ends: BTreeSet<JobIndex>,
+    settled: BTreeSet<JobIndex>,
     in_flight: Option<InFlight>,
     write_share: f64,
     write_tokens: f64,
@@ -124,7 +124,7 @@
     /// The time of day at moment 0, in milliseconds.
     pub unix_ms_at_zero: Option<u64>,
     /// How often the limits of what is written were halved, as the service took less than was said.
-    squeezed: u32,
+    limit_backoff: u32,
 }
 
 /// Shares of the state service's write budget: the leader's own, the rest being for users.
@@ -142,7 +142,7 @@
 /// Attempts are a token and so many bits of a counter.
 const ATTEMPT_BITS: u32 = 24;
 /// The limits of what is written are halved so often at the most.
-const SQUEEZED_MAX: u32 = 5;
+const LIMIT_BACKOFF_MAX: u32 = 5;
 /// Part of a transaction's size that is used at the most.
 const TXN_BYTES: usize = 48 * 1024;
 /// First pause of a job whose tasks fail on several machines, in report intervals, and the most.
@@ -159,19 +159,19 @@
 /// Pause of a machine after a failure, in report intervals.
 const COOL_REPORTS: f64 = 2.0;
 
-impl Lead {
+impl Leader {
     /// Begins a tenure from what is stored. The view must have reached the token's revision.
     pub fn begin(
         config: Rc<Config>,
         token: u64,
         types: Rc<Vec<MachineType>>,
         view: &View,
-        expected: Rc<RefCell<Expected>>,
+        expected: Rc<RefCell<ArrivalForecast>>,
         now: Time,
     ) -> Self {
         let rule = Rule::new(config.tunables.rho, config.tunables.large_share);
         let teams = config.deployment.teams.len();
-        let mut lead = Lead {
+        let mut lead = Leader {
             off_after_s: config.off_after_s(),
             rule,
             token,
@@ -188,7 +188,7 @@
             cloud: CloudBook::new(now),
             changed: true,
             dirty: BTreeMap::new(),
-            log: RunLog::new(token, view.log.iter().copied(), view.oldest),
+            log: AssignmentLog::new(token, view.log.iter().copied(), view.oldest),
             logged_at: f64::NEG_INFINITY,
             end_next: false,
             next_attempt: token << ATTEMPT_BITS,
@@ -201,14 +201,20 @@
             last_report: now,
             pause: Pause::default(),
             image_spread: HashMap::new(),
-            zones: Zones::new(view.stand_ins.keys().chain(&view.loose).cloned().collect()),
+            zones: Zones::new(
+                view.delegations
+                    .keys()
+                    .chain(&view.loose)
+                    .cloned()
+                    .collect(),
+            ),
             unix_ms_at_zero: None,
-            squeezed: 0,
+            limit_backoff: 0,
             config,
         };
         let mut jobs: Vec<_> = view.jobs.iter().collect();
         jobs.sort_by_key(|(_, job)| job.order);
-        let entered: Vec<JobIx> = jobs
+        let entered: Vec<JobIndex> = jobs
             .into_iter()
             .filter_map(|(id, job)| lead.add_job(id, job, now))
             .collect();
@@ -217,7 +223,7 @@
     }
 
     /// A job's place by its id.
-    pub fn job_ix(&self, id: &str) -> Option<JobIx> {
+    pub fn job_index(&self, id: &str) -> Option<JobIndex> {
         self.by_id.get(id).copied()
     }
 
@@ -238,12 +244,12 @@
 
     /// Takes in a job as stored, with whatever is known of its tasks.
     pub fn enter_job(&mut self, id: &Rc<str>, stored: &JobView, now: Time) {
-        if let Some(ix) = self.add_job(id, stored, now) {
-            self.pass_back([ix]);
+        if let Some(index) = self.add_job(id, stored, now) {
+            self.pass_back([index]);
         }
     }
 
-    fn add_job(&mut self, id: &Rc<str>, stored: &JobView, now: Time) -> Option<JobIx> {
+    fn add_job(&mut self, id: &Rc<str>, stored: &JobView, now: Time) -> Option<JobIndex> {
         let spec = stored.spec.as_ref()?;
         if self.by_id.contains_key(id) {
             return None;
@@ -265,7 +271,7 @@
         job.parts = stored.parts;
         job.ended = stored.end.map(|e| e.end);
         job.end_stored = stored.end.is_some();
-        let ix = self.next_job;
+        let index = self.next_job;
         self.next_job += 1;
         let mut places = Vec::new();
         for (task, (number, mark)) in &stored.tasks {
@@ -279,20 +285,20 @@
                     places.push((*task, *number, place.clone(), *attempt));
                 }
             }
-            self.log.enter(*number, ix, *task);
+            self.log.enter(*number, index, *task);
         }
         let amount = job.amount();
         let ended = job.ended.is_some();
-        self.by_id.insert(id.clone(), ix);
-        self.jobs.insert(ix, job);
+        self.by_id.insert(id.clone(), index);
+        self.jobs.insert(index, job);
         for (task, number, place, attempt) in places {
             let machine = self.fleet.enter(&place.machine, &place.zone, now);
             let key = SlotKey {
-                job: ix,
+                job: index,
                 task,
                 attempt,
             };
-            if let Some(job) = self.jobs.get_mut(&ix) {
+            if let Some(job) = self.jobs.get_mut(&index) {
                 job.bind(task, machine, attempt, number);
             }
             let slot = Slot {
@@ -309,63 +315,63 @@
             if let Some(m) = self.fleet.machines.get_mut(&machine) {
                 m.add_slot(key, slot);
             }
-            self.slot_added(ix);
+            self.slot_added(index);
         }
-        let job = &self.jobs[&ix];
+        let job = &self.jobs[&index];
         if !ended && job.done == job.spec.tasks {
-            self.finish(ix, End::Done);
+            self.finish(index, End::Done);
         } else if !ended && stored.needs_cancelled {
-            self.finish(ix, End::Cancelled);
+            self.finish(index, End::Cancelled);
         }
-        self.wake_job(ix);
-        self.maybe_settle(ix);
-        if !self.jobs[&ix].waits {
-            self.note_arrival(ix);
+        self.wake_job(index);
+        self.maybe_settle(index);
+        if !self.jobs[&index].waits {
+            self.note_arrival(index);
         }
         self.changed = true;
-        Some(ix)
+        Some(index)
     }
 
     /// All that a job waited for is stored as done. Only that lets it begin: this leader's own count is not
     /// enough, as a withdrawal may have come first.
     pub fn on_ready(&mut self, id: &str, now: Time) {
-        let Some(ix) = self.job_ix(id) else {
+        let Some(index) = self.job_index(id) else {
             return;
         };
-        let Some(job) = self.jobs.get_mut(&ix).filter(|j| j.waits) else {
+        let Some(job) = self.jobs.get_mut(&index).filter(|j| j.waits) else {
             return;
         };
         job.waits = false;
         job.since = now;
-        self.wake_job(ix);
-        self.note_arrival(ix);
+        self.wake_job(index);
+        self.note_arrival(index);
         self.changed = true;
     }
 
     /// A job that this one needs, directly or through others, is cancelled: its own end follows, to be
     /// stored as there is time for it.
     pub fn on_need_cancelled(&mut self, id: &str) {
-        let open = |ix: &JobIx| self.jobs.get(ix).is_some_and(|j| j.ended.is_none());
-        if let Some(ix) = self.job_ix(id).filter(open) {
-            if let Some(job) = self.jobs.get_mut(&ix) {
+        let open = |index: &JobIndex| self.jobs.get(index).is_some_and(|j| j.ended.is_none());
+        if let Some(index) = self.job_index(id).filter(open) {
+            if let Some(job) = self.jobs.get_mut(&index) {
                 job.waits = false;
             }
-            self.finish(ix, End::Cancelled);
+            self.finish(index, End::Cancelled);
         }
     }
 
     /// What jobs that are not over ask for is asked of all that they need: their priority, and their deadline less
     /// the time that they take themselves.
-    fn pass_back(&mut self, from: impl IntoIterator<Item = JobIx>) {
-        let open = |lead: &Lead, ix: &JobIx| lead.jobs[ix].ended.is_none();
-        let from: Vec<JobIx> = from.into_iter().filter(|ix| open(self, ix)).collect();
-        let lead: RefCell<&mut Lead> = RefCell::new(self);
-        let needs = |ix: JobIx| -> Vec<JobIx> {
+    fn pass_back(&mut self, from: impl IntoIterator<Item = JobIndex>) {
+        let open = |lead: &Leader, index: &JobIndex| lead.jobs[index].ended.is_none();
+        let from: Vec<JobIndex> = from.into_iter().filter(|index| open(self, index)).collect();
+        let lead: RefCell<&mut Leader> = RefCell::new(self);
+        let needs = |index: JobIndex| -> Vec<JobIndex> {
             let lead = lead.borrow();
-            let ids = lead.jobs[&ix].spec.waits_on.iter();
-            ids.filter_map(|id| lead.job_ix(id)).collect()
+            let ids = lead.jobs[&index].spec.waits_on.iter();
+            ids.filter_map(|id| lead.job_index(id)).collect()
         };
-        let raise = |need: JobIx, by: JobIx| -> bool {
+        let raise = |need: JobIndex, by: JobIndex| -> bool {
             let mut lead = lead.borrow_mut();
             let job = &lead.jobs[&by];
             let (priority, needed_by) = (job.spec.priority, lead.done_by(job) - lead.run_s(job));
@@ -380,7 +386,7 @@
             lead.changed |= more;
             more
         };
-        graph::pass_back(from, |ix| lead.borrow().jobs[&ix].order, needs, raise);
+        graph::pass_back(from, |index| lead.borrow().jobs[&index].order, needs, raise);
     }
 
     /// By when a job must be done, by its own deadline and those of the jobs that need it.
@@ -397,32 +403,32 @@
 
     /// A job's end was stored, by whoever.
     pub fn on_end(&mut self, id: &str, end: &EndRecord, now: Time) {
-        let Some(ix) = self.job_ix(id) else {
+        let Some(index) = self.job_index(id) else {
             return;
         };
-        if let Some(job) = self.jobs.get_mut(&ix) {
+        if let Some(job) = self.jobs.get_mut(&index) {
             job.ended = Some(end.end);
             job.end_stored = true;
         }
-        self.ends.remove(&ix);
-        self.active.remove(&ix);
+        self.ends.remove(&index);
+        self.active.remove(&index);
         if end.end == End::Cancelled {
-            self.stop_job(ix, 0.0, now);
+            self.stop_job(index, 0.0, now);
         }
-        self.maybe_settle(ix);
+        self.maybe_settle(index);
     }
 
     /// Stops all that a job has on machines.
-    pub(crate) fn stop_job(&mut self, ix: JobIx, grace_s: f64, now: Time) {
+    pub(crate) fn stop_job(&mut self, index: JobIndex, grace_s: f64, now: Time) {
         let mut off = Vec::new();
         for (machine, m) in &mut self.fleet.machines {
             let first = SlotKey {
-                job: ix,
+                job: index,
                 task: 0,
                 attempt: 0,
             };
             let last = SlotKey {
-                job: ix,
+                job: index,
                 task: u32::MAX,
                 attempt: u64::MAX,
             };
@@ -445,18 +451,18 @@
     }
 
     /// A task of a job came off its machine without being done.
-    pub(crate) fn on_unbound(&mut self, ix: JobIx, task: u32, now: Time) {
-        let job = &self.jobs[&ix];
+    pub(crate) fn on_unbound(&mut self, index: JobIndex, task: u32, now: Time) {
+        let job = &self.jobs[&index];
         if job.is_gang() && job.bound > 0 && job.ended.is_none() {
             // The rest of the attempt can't go on: it ends now and starts anew as a whole.
-            self.stop_job(ix, 0.0, now);
+            self.stop_job(index, 0.0, now);
         }
-        self.mark_dirty(ix, task, false, now);
+        self.mark_pending_write(index, task, false, now);
     }
 
     /// Tells that a task is no longer as the log says: to be written at once or, if others may join
     /// it, a little later.
-    fn mark_dirty(&mut self, ix: JobIx, task: u32, at_once: bool, now: Time) {
+    fn mark_pending_write(&mut self, index: JobIndex, task: u32, at_once: bool, now: Time) {
         let report_s = self.config.deployment.workers.report_s;
         let due = if at_once {
             now
@@ -464,7 +470,10 @@
             now + report_s * LAZY_WRITE_REPORTS
         };
         let tasks = Vec::new();
-        let dirty = self.dirty.entry(ix).or_insert(Dirty { due, tasks });
+        let dirty = self
+            .dirty
+            .entry(index)
+            .or_insert(PendingWrites { due, tasks });
         dirty.due = dirty.due.min(due);
         dirty.tasks.push(task);
     }
@@ -495,32 +504,32 @@
             self.finish(key.job, End::Done);
         } else {
             // A gang is done as a whole: only an array comes here.
-            self.mark_dirty(key.job, key.task, false, now);
+            self.mark_pending_write(key.job, key.task, false, now);
         }
     }
 
     /// All jobs are over, and their ends wait to be written.
     #[cfg(test)]
     pub(crate) fn end_all(&mut self) {
-        let all: Vec<JobIx> = self.jobs.keys().copied().collect();
-        for ix in all {
-            self.finish(ix, End::Done);
+        let all: Vec<JobIndex> = self.jobs.keys().copied().collect();
+        for index in all {
+            self.finish(index, End::Done);
         }
     }
 
-    fn finish(&mut self, ix: JobIx, end: End) {
-        if let Some(job) = self.jobs.get_mut(&ix) {
+    fn finish(&mut self, index: JobIndex, end: End) {
+        if let Some(job) = self.jobs.get_mut(&index) {
             job.ended = Some(end);
         }
-        self.active.remove(&ix);
-        self.dirty.remove(&ix);
-        self.ends.insert(ix);
+        self.active.remove(&index);
+        self.dirty.remove(&index);
+        self.ends.insert(index);
     }
 
     /// A task failed on a machine: is it the machine or the job?
-    pub(crate) fn on_task_error(&mut self, ix: JobIx, machine: MachineIx, now: Time) {
+    pub(crate) fn on_task_error(&mut self, index: JobIndex, machine: MachineIndex, now: Time) {
         let report_s = self.config.deployment.workers.report_s;
-        let Some(job) = self.jobs.get_mut(&ix) else {
+        let Some(job) = self.jobs.get_mut(&index) else {
             return;
         };
         // A faulty job fails everywhere: where others of its tasks complete, it is the machine.
@@ -542,7 +551,7 @@
             return;
         };
         m.errors += 1;
-        m.error_jobs.insert(ix);
+        m.error_jobs.insert(index);
         m.cool_until = now + report_s * COOL_REPORTS * f64::from(m.errors);
         // One job's failures speak against a machine only while it fails nowhere else.
         let at_fault = m.error_jobs.len() >= MACHINE_FAULT_JOBS
@@ -554,8 +563,8 @@
 
     /// All of a gang's attempt is off. If few of its tasks failed and the others only lost them, the
     /// fault is with those machines: each would take down one large gang after the other.
-    pub(crate) fn judge_attempt(&mut self, ix: JobIx) {
-        let Some(job) = self.jobs.get_mut(&ix).filter(|j| j.slots == 0) else {
+    pub(crate) fn judge_attempt(&mut self, index: JobIndex) {
+        let Some(job) = self.jobs.get_mut(&index).filter(|j| j.slots == 0) else {
             return;
         };
         let failed = std::mem::take(&mut job.failed_now);
@@ -570,7 +579,7 @@
         }
     }
 
-    fn set_aside(&mut self, machine: MachineIx) {
+    fn set_aside(&mut self, machine: MachineIndex) {
         if let Some(m) = self.fleet.machines.get_mut(&machine) {
             m.set_aside();
         }
@@ -578,40 +587,40 @@
 
     /// Whether a job may be forgotten here: it is over and off all machines. What is stored of its
     /// run is then cleared away.
-    pub(crate) fn maybe_settle(&mut self, ix: JobIx) {
-        if let Some(job) = self.jobs.get(&ix)
+    pub(crate) fn maybe_settle(&mut self, index: JobIndex) {
+        if let Some(job) = self.jobs.get(&index)
             && job.end_stored
             && job.slots == 0
         {
-            self.dirty.remove(&ix);
-            self.settled.insert(ix);
+            self.dirty.remove(&index);
+            self.settled.insert(index);
         }
     }
 
     /// Puts a job among those to be placed, if tasks of it wait.
-    pub(crate) fn wake_job(&mut self, ix: JobIx) {
-        let job = &self.jobs[&ix];
+    pub(crate) fn wake_job(&mut self, index: JobIndex) {
+        let job = &self.jobs[&index];
         if job.ended.is_none() && !job.waits && job.pending() > 0 {
-            self.active.insert(ix);
+            self.active.insert(index);
         }
     }
 
-    pub(crate) fn slot_added(&mut self, ix: JobIx) {
-        if let Some(job) = self.jobs.get_mut(&ix) {
+    pub(crate) fn slot_added(&mut self, index: JobIndex) {
+        if let Some(job) = self.jobs.get_mut(&index) {
             job.slots += 1;
         }
-        self.settled.remove(&ix);
-        self.use_team(ix, 1.0);
+        self.settled.remove(&index);
+        self.use_team(index, 1.0);
     }
 
-    pub(crate) fn slot_dropped(&mut self, ix: JobIx) {
-        if let Some(job) = self.jobs.get_mut(&ix) {
+    pub(crate) fn slot_dropped(&mut self, index: JobIndex) {
+        if let Some(job) = self.jobs.get_mut(&index) {
             job.slots = job.slots.saturating_sub(1);
         }
     }
 
-    pub(crate) fn use_team(&mut self, ix: JobIx, sign: f64) {
-        let job = &self.jobs[&ix];
+    pub(crate) fn use_team(&mut self, index: JobIndex, sign: f64) {
+        let job = &self.jobs[&index];
         let used = &mut self.team_used[job.team];
         *used = used.plus(job.amount().times(sign));
     }
@@ -628,8 +637,8 @@
         self.types.iter().position(|t| t.name == name)
     }
 
-    pub(crate) fn capacity_of(&self, type_ix: usize) -> Amount {
-        type_capacity(&self.types[type_ix])
+    pub(crate) fn capacity_of(&self, type_index: usize) -> Amount {
+        type_capacity(&self.types[type_index])
     }
 
     /// An attempt that no task ever had: a tenure's are counted from its token. That many between
@@ -642,13 +651,13 @@
     /// Notes the placement of a task; its launch follows once this is stored.
     pub(crate) fn bind(
         &mut self,
-        ix: JobIx,
+        index: JobIndex,
         task: u32,
-        machine: MachineIx,
+        machine: MachineIndex,
         attempt: u64,
         now: Time,
     ) {
-        let Some(job) = self.jobs.get_mut(&ix) else {
+        let Some(job) = self.jobs.get_mut(&index) else {
             return;
         };
         job.bind(task, machine, attempt, 0);
@@ -664,20 +673,20 @@
             over: false,
         };
         let key = SlotKey {
-            job: ix,
+            job: index,
             task,
             attempt,
         };
         let spec = job.spec.clone();
         if let Some(m) = self.fleet.machines.get_mut(&machine) {
             m.add_slot(key, slot);
-            if let Some(type_ix) = m.type_ix {
-                let cache = cache_of(&self.types[type_ix]);
+            if let Some(type_index) = m.type_index {
+                let cache = cache_of(&self.types[type_index]);
                 m.images.ask(&spec.image, spec.image_gb, cache, now);
             }
         }
-        self.slot_added(ix);
-        self.mark_dirty(ix, task, true, now);
+        self.slot_added(index);
+        self.mark_pending_write(index, task, true, now);
     }
 
     /// The next transaction to send, if one is due; it stays the same until its outcome is told.
@@ -690,7 +699,7 @@
         self.write_tokens =
             (self.write_tokens + (now - self.write_refill) * rate).min(rate.max(1.0));
         self.write_refill = now;
-        let txn_ops = (state.txn_ops >> self.squeezed).max(2);
+        let txn_ops = (state.txn_ops >> self.limit_backoff).max(2);
         let ops = (self.write_tokens as usize).min(txn_ops);
         if ops == 0 {
             return None;
@@ -713,11 +722,11 @@
         let (conditions, changes) = (&mut txn.conditions, &mut txn.changes);
         let zones = self.zones.write(self.token, most, conditions, changes);
         let mut flight_ends = Vec::new();
-        for ix in &self.ends {
+        for index in &self.ends {
             if txn.changes.len() + usize::from(log_due) >= ops {
                 break;
             }
-            let job = &self.jobs[ix];
+            let job = &self.jobs[index];
             let record = EndRecord {
                 end: job.ended.unwrap_or(End::Done),
                 done: job.done,
@@ -728,7 +737,7 @@
                 version: 0,
             });
             txn.changes.push(put(key::end(&job.id), &record)?);
-            flight_ends.push(*ix);
+            flight_ends.push(*index);
         }
         let mut writers = Vec::new();
         if log_due {
@@ -765,14 +774,14 @@
             txn.changes.push(Change::Delete { key });
         }
         let mut cleared = Vec::new();
-        for ix in &self.settled {
+        for index in &self.settled {
             if txn.changes.len() >= spare {
                 break;
             }
             txn.changes.push(Change::Delete {
-                key: key::job(&self.jobs[ix].id),
+                key: key::job(&self.jobs[index].id),
             });
-            cleared.push(*ix);
+            cleared.push(*index);
         }
         for key in self
             .zones
@@ -800,16 +809,18 @@
     /// Fills values of the log, `most` at the most, with what is due; what isn't yet takes the room
     /// that is left.
     fn log_changes(&mut self, most: usize, now: Time) -> Vec<Writer> {
-        let value_max = (self.config.deployment.state.value_kb * 1024.0) as usize >> self.squeezed;
-        let mut order: Vec<(Time, JobIx)> = self.dirty.iter().map(|(k, d)| (d.due, *k)).collect();
+        let value_max =
+            (self.config.deployment.state.value_kb * 1024.0) as usize >> self.limit_backoff;
+        let mut order: Vec<(Time, JobIndex)> =
+            self.dirty.iter().map(|(k, d)| (d.due, *k)).collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut full: Vec<Writer> = Vec::new();
         let mut writer = Writer::new(value_max);
-        'jobs: for (due, ix) in order {
-            let Some(mut dirty) = self.dirty.remove(&ix) else {
+        'jobs: for (due, index) in order {
+            let Some(mut dirty) = self.dirty.remove(&index) else {
                 continue;
             };
-            let Some(job) = self.jobs.get(&ix).filter(|j| j.ended.is_none()) else {
+            let Some(job) = self.jobs.get(&index).filter(|j| j.ended.is_none()) else {
                 continue;
             };
             dirty.tasks.sort_unstable();
@@ -820,14 +831,14 @@
                 Some((&*m.name, &*m.zone))
             };
             for (at, task) in dirty.tasks.iter().enumerate() {
-                if writer.add(ix, job, *task, place) {
+                if writer.add(index, job, *task, place) {
                     continue;
                 }
                 let bytes: usize = full.iter().map(Writer::bytes).sum();
                 let room = full.len() + 1 < most && bytes + 2 * value_max < TXN_BYTES;
                 if due <= now && room && !writer.is_empty() {
                     full.push(std::mem::replace(&mut writer, Writer::new(value_max)));
-                    if writer.add(ix, job, *task, place) {
+                    if writer.add(index, job, *task, place) {
                         continue;
                     }
                 }
@@ -837,7 +848,7 @@
                     continue;
                 }
                 dirty.tasks.drain(..at);
-                self.dirty.insert(ix, dirty);
+                self.dirty.insert(index, dirty);
                 break 'jobs;
             }
         }
@@ -854,14 +865,17 @@
         let mut oldest = self.log.oldest();
         let mut learned = Vec::new();
         for (number, tasks) in self.log.surplus(RETOLD_MAX) {
-            let needed = |ix: &JobIx, task: u32| {
+            let needed = |index: &JobIndex, task: u32| {
                 // What is over and off all machines is known by its end.
-                let job = self.jobs.get(ix).filter(|_| !self.settled.contains(ix));
+                let job = self
+                    .jobs
+                    .get(index)
+                    .filter(|_| !self.settled.contains(index));
                 job.filter(|job| job.needs(task, number))
             };
-            let live: Vec<(JobIx, u32, &Job)> = tasks
+            let live: Vec<(JobIndex, u32, &Job)> = tasks
                 .iter()
-                .filter_map(|(ix, task)| Some((*ix, *task, needed(ix, *task)?)))
+                .filter_map(|(index, task)| Some((*index, *task, needed(index, *task)?)))
                 .collect();
             learned.push((live.len(), tasks.len()));
             let fleet = &self.fleet;
@@ -871,7 +885,7 @@
             };
             let all = live
                 .iter()
-                .all(|(ix, task, job)| writer.add(*ix, job, *task, place));
+                .all(|(index, task, job)| writer.add(*index, job, *task, place));
             if !all {
                 break;
             }
@@ -919,7 +933,7 @@
             TxnOutcome::TooLarge => {
                 // The same again would be refused for ever, and all writes wait for this one: what it said is
                 // said anew in smaller pieces.
-                self.squeezed = (self.squeezed + 1).min(SQUEEZED_MAX);
+                self.limit_backoff = (self.limit_backoff + 1).min(LIMIT_BACKOFF_MAX);
                 self.take_back(now);
                 AfterTxn::Again
             }
@@ -930,7 +944,7 @@
                 let ends: Vec<String> = flight
                     .ends
                     .iter()
-                    .map(|ix| key::end(&self.jobs[ix].id))
+                    .map(|index| key::end(&self.jobs[index].id))
                     .collect();
                 if let Some(other) = failed.iter().find(|k| !ends.contains(k)) {
                     // Only this tenure writes that key: a copy was applied, even if all that is
@@ -938,9 +952,9 @@
                     return AfterTxn::ReadBack(other.clone());
                 }
                 // A user's withdrawal came first, or a copy of ours; the view will tell which.
-                for ix in flight.ends.clone() {
-                    if failed.contains(&key::end(&self.jobs[&ix].id)) {
-                        self.ends.remove(&ix);
+                for index in flight.ends.clone() {
+                    if failed.contains(&key::end(&self.jobs[&index].id)) {
+                        self.ends.remove(&index);
                     }
                 }
                 self.take_back(now);
@@ -957,8 +971,8 @@
         for zone in &flight.zones {
             self.zones.stored(zone, None, now);
         }
-        for (ix, task, _) in flight.told.into_iter().flat_map(|(_, told)| told) {
-            self.mark_dirty(ix, task, true, now);
+        for (index, task, _) in flight.told.into_iter().flat_map(|(_, told)| told) {
+            self.mark_pending_write(index, task, true, now);
         }
     }
 
@@ -977,13 +991,13 @@
             self.zones.stored(zone, Some(revision), now);
         }
         for (number, told) in flight.told {
-            for (ix, task, what) in told {
-                if let Some(job) = self.jobs.get_mut(&ix) {
+            for (index, task, what) in told {
+                if let Some(job) = self.jobs.get_mut(&index) {
                     job.stored(task, what, number);
-                    self.log.enter(number, ix, task);
+                    self.log.enter(number, index, task);
                 }
-                if let Told::Bound(_) = what {
-                    self.launch_ready(ix, task, now);
+                if let Recorded::Bound(_) = what {
+                    self.launch_ready(index, task, now);
                 }
             }
         }
@@ -991,27 +1005,27 @@
         for number in flight.gone {
             self.log.cleared(number);
         }
-        for ix in flight.ends {
-            self.ends.remove(&ix);
-            if let Some(job) = self.jobs.get_mut(&ix) {
+        for index in flight.ends {
+            self.ends.remove(&index);
+            if let Some(job) = self.jobs.get_mut(&index) {
                 job.end_stored = true;
             }
-            self.maybe_settle(ix);
+            self.maybe_settle(index);
         }
-        for ix in flight.cleared {
+        for index in flight.cleared {
             // A stray attempt may have shown up while this was written: the job is needed until that
             // is off. Its going once ended the process.
-            if self.jobs.get(&ix).is_some_and(|job| job.slots > 0) {
+            if self.jobs.get(&index).is_some_and(|job| job.slots > 0) {
                 continue;
             }
-            self.settled.remove(&ix);
-            if let Some(job) = self.jobs.remove(&ix) {
+            self.settled.remove(&index);
+            if let Some(job) = self.jobs.remove(&index) {
                 self.by_id.remove(&job.id);
                 for part in 1..=job.parts {
                     self.zones.clear_away(key::needs(&job.id, part));
                 }
             }
-            self.active.remove(&ix);
+            self.active.remove(&index);
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,28 +1,28 @@
 //! capervale, a cluster scheduler: controllers take users' jobs, rent machines, command workers
 //! and keep all state in a state service.
 //!
-//! The core ([`lead::Lead`] with [`fleet`], [`scheduler`], [`autoscale`] and [`pricing`], and
+//! The core ([`leader::Leader`] with [`fleet`], [`scheduler`], [`autoscale`] and [`pricing`], and
 //! [`view::View`]) is made of state machines without input or output; the routines of [`node`]
 //! do that around them.
 
 pub mod api;
+pub mod arrivals;
+pub mod assignment_log;
 pub mod autoscale;
-pub mod book;
 pub mod cluster;
 pub mod config;
 pub mod election;
-pub mod expect;
 pub mod fleet;
 pub mod graph;
 pub mod http;
 pub mod images;
-pub mod lead;
+pub mod jobs;
+pub mod leader;
 pub mod node;
 pub mod picker;
 pub(crate) mod preempt;
 pub mod pricing;
 pub mod rt;
-pub mod runlog;
 pub mod scheduler;
 pub mod store;
 pub mod view;
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,10 +1,10 @@
 //! A controller: the routines around the state machines.
 
 mod cloud;
+pub(crate) mod delegate;
 mod follow;
 mod leading;
 mod reports;
-pub(crate) mod standin;
 pub(crate) mod users;
 
 use std::cell::{Cell, RefCell};
@@ -17,12 +17,12 @@
 use futures_channel::oneshot;
 use rand::RngExt;
 
-use crate::cluster::{self, Greeting, Peers, WorkerSeen};
+use crate::arrivals::ArrivalForecast;
+use crate::cluster::{self, Heartbeat, Peers, WorkerSeen};
 use crate::config::Config;
 use crate::election::Tenure;
-use crate::expect::Expected;
 use crate::http::{self, Client, ServerLimits, serve};
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::rt::{Bucket, Pulse, Rt, Scope, Signal, Time};
 use crate::store::Store;
 use crate::view::View;
@@ -75,9 +75,9 @@
 const STATE_PAUSE_S: f64 = 0.15;
 /// Renewals within a lease's life.
 const RENEWALS: f64 = 4.0;
-/// Interval of greetings in report intervals, and the longest.
-const GREETING_REPORTS: f64 = 0.4;
-const GREETING_S_MAX: f64 = 1.2;
+/// Interval of heartbeats in report intervals, and the longest.
+const HEARTBEAT_REPORTS: f64 = 0.4;
+const HEARTBEAT_S_MAX: f64 = 1.2;
 /// After so many report intervals without the state service, while others have it, a node asks
 /// not to be sent users.
 const STATE_LOST_REPORTS: f64 = 1.5;
@@ -96,10 +96,10 @@
 const DEAF_S_MAX: f64 = 4.0;
 const DEAF_MACHINES: usize = 12;
 /// Interval of pleas in report intervals, and the longest.
-const PLEA_REPORTS: f64 = 0.5;
-const PLEA_S_MAX: f64 = 1.5;
+const STEP_DOWN_REQUEST_REPORTS: f64 = 0.5;
+const STEP_DOWN_REQUEST_S_MAX: f64 = 1.5;
 /// So many workers that can't reach the leader are told of.
-const ASTRAY_WORKERS: usize = 2;
+const UNREACHABLE_WORKERS: usize = 2;
 /// A leader whose lease is renewed but whose view was not current for so many lives gives way.
 const STALE_LIVES: f64 = 2.0;
 /// How long a leader that resigned stands back, in lives of its lease.
@@ -117,7 +117,7 @@
 /// Largest answer taken from the cloud or a worker.
 const OUTSIDE_BODY_MAX: usize = 1024 * 1024;
 
-/// Why a controller could not start.
+/// ExitReason a controller could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     #[error("{what} {addr}: {source}")]
@@ -133,7 +133,7 @@
 struct Seen {
     at: Time,
     redirected: Option<(Time, u64)>,
-    astray: Option<Time>,
+    unreachable_since: Option<Time>,
     worker: WorkerSeen,
 }
 
@@ -149,7 +149,7 @@
     user_rate: f64,
     user_writes_live: Cell<usize>,
     view: RefCell<View>,
-    expected: Rc<RefCell<Expected>>,
+    expected: Rc<RefCell<ArrivalForecast>>,
     /// Whether the view is whole; not while it is read anew.
     loaded: Cell<bool>,
     /// Beats when the view moved on.
@@ -164,7 +164,7 @@
     barrier_work: Signal,
     barrier_queue: RefCell<Vec<oneshot::Sender<bool>>>,
     tenure: Cell<Option<Tenure>>,
-    lead: RefCell<Option<Lead>>,
+    lead: RefCell<Option<Leader>>,
     leader_moved: Signal,
     resign: Signal,
     work: Signal,
@@ -172,16 +172,16 @@
     round: Pulse,
     cloud_work: Signal,
     seen: RefCell<BTreeMap<String, Seen>>,
-    plea_at: Cell<Time>,
-    plea: Cell<Option<u64>>,
-    plea_work: Signal,
+    step_down_requested_at: Cell<Time>,
+    step_down_request: Cell<Option<u64>>,
+    step_down_request_work: Signal,
     resigned: Cell<bool>,
     peers: Rc<Peers>,
     /// Reports that wait for a leader's word to be seen standing.
-    word_queue: RefCell<Vec<(standin::Word, oneshot::Sender<Option<bool>>)>>,
-    word_work: Signal,
+    delegation_queue: RefCell<Vec<(delegate::DelegationRef, oneshot::Sender<Option<bool>>)>>,
+    delegation_work: Signal,
     /// What is to be told to the leader, by zone.
-    relays: RefCell<HashMap<String, standin::Relay>>,
+    relays: RefCell<HashMap<String, delegate::Relay>>,
     relay_work: Signal,
 }
 
@@ -216,7 +216,7 @@
         })
     };
     root.spawn(serve(rt.clone(), front, limits, handler));
-    let every_s = (w.report_s * GREETING_REPORTS).min(GREETING_S_MAX);
+    let every_s = (w.report_s * HEARTBEAT_REPORTS).min(HEARTBEAT_S_MAX);
     root.spawn(cluster::listen(
         rt.clone(),
         links,
@@ -228,14 +228,19 @@
     for peer in &config.peers {
         let node = node.clone();
         let told = RefCell::new(String::new());
-        let greeter = Box::new(move || node.greeting(&mut told.borrow_mut()));
-        root.spawn(cluster::greet(rt.clone(), peer.clone(), every_s, greeter));
+        let source = Box::new(move || node.heartbeat(&mut told.borrow_mut()));
+        root.spawn(cluster::send_heartbeats(
+            rt.clone(),
+            peer.clone(),
+            every_s,
+            source,
+        ));
     }
     root.spawn(node.clone().follow_duty());
     root.spawn(node.clone().barrier_duty());
     root.spawn(node.clone().types_duty());
-    root.spawn(node.clone().plea_duty());
-    root.spawn(node.clone().word_duty());
+    root.spawn(node.clone().step_down_request_duty());
+    root.spawn(node.clone().delegation_duty());
     root.spawn(node.clone().relay_duty());
     root.spawn(node.clone().election_duty());
     root.spawn(node.clone().leader_duty());
@@ -266,7 +271,7 @@
 impl Node {
     fn new(rt: &Rt, config: Rc<Config>) -> Self {
         let d = &config.deployment;
-        let user_rate = d.state.write_rps * (1.0 - crate::lead::LEADER_WRITE_SHARE);
+        let user_rate = d.state.write_rps * (1.0 - crate::leader::LEADER_WRITE_SHARE);
         Node {
             rt: rt.clone(),
             incarnation: rand::rng().random(),
@@ -280,7 +285,7 @@
             user_rate,
             user_writes_live: Cell::new(0),
             view: RefCell::default(),
-            expected: Rc::new(RefCell::new(Expected::new(
+            expected: Rc::new(RefCell::new(ArrivalForecast::new(
                 EXPECT_STEP_S,
                 EXPECT_S,
                 rt.now(),
@@ -301,13 +306,13 @@
             round: Pulse::default(),
             cloud_work: Signal::default(),
             seen: RefCell::default(),
-            plea_at: Cell::new(f64::NEG_INFINITY),
-            plea: Cell::new(None),
-            plea_work: Signal::default(),
+            step_down_requested_at: Cell::new(f64::NEG_INFINITY),
+            step_down_request: Cell::new(None),
+            step_down_request_work: Signal::default(),
             resigned: Cell::new(false),
             peers: Rc::default(),
-            word_queue: RefCell::default(),
-            word_work: Signal::default(),
+            delegation_queue: RefCell::default(),
+            delegation_work: Signal::default(),
             relays: RefCell::default(),
             relay_work: Signal::default(),
             config,
@@ -339,7 +344,7 @@
     }
 
     /// What to tell another controller; `told` is the last worker that it was told of.
-    fn greeting(&self, told: &mut String) -> Greeting {
+    fn heartbeat(&self, told: &mut String) -> Heartbeat {
         let now = self.now();
         let lease_s = self.config.deployment.workers.lease_s;
         if told.is_empty() {
@@ -357,7 +362,7 @@
             .last()
             .map(|w| w.machine.clone())
             .unwrap_or_default();
-        Greeting {
+        Heartbeat {
             host: self.config.node.clone(),
             state_s: self.state_heard.get().map(|t| now - t),
             workers,
--- a/src/node/standin.rs
+++ b/src/node/delegate.rs
@@ -8,9 +8,9 @@
 
 use super::{FOLLOW_GAP_S, Node, POLL_S, POLLS_MAX, RETRY_S};
 use crate::http::Response;
-use crate::lead::{TxnOutcome, split_task};
+use crate::leader::{TxnOutcome, split_task};
 use crate::view::{JobLog, RelayRecord, key};
-use crate::wire::{Change, Command, Condition, Report, ReportReply, TaskState, Txn, Why};
+use crate::wire::{Change, Command, Condition, ExitReason, Report, ReportReply, TaskState, Txn};
 
 /// Bytes of a relayed value beside its jobs and sessions.
 const RELAY_MARGIN: usize = 128;
@@ -20,7 +20,7 @@
 
 /// The word of a leader that is to be seen standing.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Word {
+pub(super) struct DelegationRef {
     token: u64,
     key: String,
     version: u64,
@@ -58,7 +58,7 @@
             fresh = true;
         }
         for t in &report.tasks {
-            let done = t.state == TaskState::Exited && t.why == Some(Why::Done);
+            let done = t.state == TaskState::Exited && t.why == Some(ExitReason::Done);
             if done
                 && let Some((id, task)) = split_task(&t.task)
                 && self.told.insert((t.task.clone(), t.attempt))
@@ -148,13 +148,13 @@
 
 impl Node {
     /// Answers a report in the leader's name, if the leader lets others do so in the worker's zone.
-    pub(super) async fn stand_in(&self, report: &Report, token: u64) -> Option<Response> {
+    pub(super) async fn answer_as_delegate(&self, report: &Report, token: u64) -> Option<Response> {
         let word = {
             let view = self.view.borrow();
-            let mut words = view.stand_ins.iter();
+            let mut words = view.delegations.iter();
             words.find_map(|(key, (record, version))| {
                 let stands = !record.over && record.token == token && record.zone == report.zone;
-                stands.then(|| Word {
+                stands.then(|| DelegationRef {
                     token,
                     key: key.clone(),
                     version: *version,
@@ -165,12 +165,12 @@
             self.relays.borrow_mut().remove(&report.zone);
             return None;
         };
-        if self.word_queue.borrow().len() >= POLLS_MAX {
+        if self.delegation_queue.borrow().len() >= POLLS_MAX {
             return Some(Response::later(503, "too many reports", RETRY_S));
         }
         let (tell, told) = oneshot::channel();
-        self.word_queue.borrow_mut().push((word, tell));
-        self.word_work.set();
+        self.delegation_queue.borrow_mut().push((word, tell));
+        self.delegation_work.set();
         match self.rt.timeout(POLL_S, told).await {
             Ok(Ok(Some(true))) => {}
             // Taken back, or another leads by now.
@@ -200,17 +200,17 @@
 
     /// Reads, for reports that wait, whether leaders' words still stand; then waits for the view to
     /// show all that was stored by then. A read answers only what came before it began.
-    pub(super) async fn word_duty(self: Rc<Self>) {
+    pub(super) async fn delegation_duty(self: Rc<Self>) {
         loop {
-            self.word_work.take().await;
-            let waiting = self.word_queue.take();
-            let mut known: Vec<(Word, Option<bool>)> = Vec::new();
+            self.delegation_work.take().await;
+            let waiting = self.delegation_queue.take();
+            let mut known: Vec<(DelegationRef, Option<bool>)> = Vec::new();
             for (word, tell) in waiting {
                 let found = known.iter().find(|(w, _)| *w == word).map(|(_, ok)| *ok);
                 let stands = match found {
                     Some(stands) => stands,
                     None => {
-                        let stands = self.word_stands(&word).await;
+                        let stands = self.delegation_stands(&word).await;
                         known.push((word, stands));
                         stands
                     }
@@ -222,7 +222,7 @@
     }
 
     /// None: the store gave no word.
-    async fn word_stands(&self, word: &Word) -> Option<bool> {
+    async fn delegation_stands(&self, word: &DelegationRef) -> Option<bool> {
         let compare = Txn {
             conditions: vec![
                 Condition {
--- a/src/node/standin/tests.rs
+++ b/src/node/delegate/tests.rs
@@ -23,7 +23,7 @@
     let word = r#"{"token":7,"zone":"south","over":false}"#;
     let keys = [
         (key::leader(), r#"{"host":"n1","incarnation":1}"#, 7),
-        (key::stand_in(7, 1), word, 8),
+        (key::delegation(7, 1), word, 8),
         (key::job("j-1"), &specs[0], 2),
         (key::job("j-2"), &specs[1], 3),
         (key::end("j-2"), r#"{"end":"aborted","done":0}"#, 9),
@@ -67,7 +67,7 @@
         root.spawn(serve(rt.clone(), listener, LIMITS, handler));
         let node = Rc::new(Node::new(rt, Rc::new(config)));
         root.spawn(node.clone().follow_duty());
-        root.spawn(node.clone().word_duty());
+        root.spawn(node.clone().delegation_duty());
         let rt = rt.clone();
         root.spawn(async move {
             while !node.loaded.get() {
@@ -124,7 +124,7 @@
             attempt: 4,
         };
         w.execute(7, &[start]);
-        w.end(&task, Why::Done);
+        w.end(&task, ExitReason::Done);
     }
     assert!(relay.note(&w.report) && !relay.note(&w.report));
     let mut told = 0;
--- a/src/node/follow.rs
+++ b/src/node/follow.rs
@@ -12,7 +12,7 @@
     SHORT_WATCH, STATE_PAUSE_S, WATCH_S,
 };
 use crate::autoscale::{CloudAnswer, CloudCall};
-use crate::lead::TxnOutcome;
+use crate::leader::TxnOutcome;
 use crate::store::Followed;
 use crate::view::{self, View, key};
 use crate::wire::{self, Condition, Txn};
@@ -152,7 +152,7 @@
             self.rewatch.clear();
             let followed = {
                 let watch = std::pin::pin!(self.store.follow(key::ROOT, after, block_s));
-                match select(watch, self.rewatch.raised()).await {
+                match select(watch, self.rewatch.wait()).await {
                     Either::Left((followed, _)) => followed,
                     Either::Right(_) => {
                         // Somebody waits for a revision that may be of others' keys: no change of ours
@@ -169,7 +169,7 @@
                     self.take_events(&events);
                     // A short gap groups the changes, unless somebody waits for them.
                     let gap = self.rt.sleep(FOLLOW_GAP_S);
-                    select(gap, self.hurry.raised()).await;
+                    select(gap, self.hurry.wait()).await;
                     self.hurry.clear();
                 }
                 Ok(Followed::TooOld) => return,
@@ -218,10 +218,10 @@
                     }
                 }
                 Some(view::Change::Leader) => self.leader_moved.set(),
-                Some(view::Change::Plea(plea)) => {
+                Some(view::Change::StepDownRequest(step_down_request)) => {
                     let deaf_s = self.config.deployment.workers.report_s * DEAF_REPORTS;
                     if let Some(lead) = lead.as_mut()
-                        && lead.token == plea.token
+                        && lead.token == step_down_request.token
                     {
                         let many = lead.fleet.machines.len() >= DEAF_MACHINES;
                         let deaf_s = if many { deaf_s.min(DEAF_S_MAX) } else { deaf_s };
@@ -238,7 +238,7 @@
                 }
                 Some(view::Change::Types) | None => {}
             }
-            let moved = view.take_moved(now);
+            let moved = view.take_changes(now);
             for id in &moved.ready {
                 if let Some(spec) = view.jobs.get(id).and_then(|j| j.spec.as_ref()) {
                     self.expected.borrow_mut().note(spec, now);
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -14,7 +14,7 @@
 use crate::election::{self, Kept, Tenure};
 use crate::fleet::{DirectMessage, DirectOutcome};
 use crate::http::{CallError, Client};
-use crate::lead::{AfterTxn, Lead, TxnOutcome, split_task};
+use crate::leader::{AfterTxn, Leader, TxnOutcome, split_task};
 use crate::rt::Scope;
 use crate::wire::{Command, Direct, path};
 
@@ -57,7 +57,7 @@
                 }
             }
             let pause = life * 0.1 * rand::rng().random_range(0.5..1.5);
-            let moved = std::pin::pin!(self.leader_moved.raised());
+            let moved = std::pin::pin!(self.leader_moved.wait());
             select(moved, self.rt.sleep(pause)).await;
         }
     }
@@ -91,7 +91,7 @@
                 tracing::warn!("the lease is renewed, but changes don't come");
                 self.resign.set();
             }
-            let resign = std::pin::pin!(self.resign.raised());
+            let resign = std::pin::pin!(self.resign.wait());
             if let Either::Left(_) = select(resign, self.rt.sleep(every)).await {
                 tracing::info!("{} gives up the lead", self.config.node);
                 self.step_down();
@@ -129,7 +129,7 @@
         let Some(types) = view.types.clone() else {
             return false;
         };
-        let mut lead = Lead::begin(
+        let mut lead = Leader::begin(
             self.config.clone(),
             token,
             types,
@@ -168,7 +168,7 @@
     }
 
     /// Runs `f` on the leader's state, if this node may act under `token` right now.
-    pub(super) fn with_lead<T>(&self, token: u64, f: impl FnOnce(&mut Lead) -> T) -> Option<T> {
+    pub(super) fn with_lead<T>(&self, token: u64, f: impl FnOnce(&mut Leader) -> T) -> Option<T> {
         if self.acting() != Some(token) {
             return None;
         }
@@ -188,7 +188,7 @@
                 .lead
                 .borrow()
                 .as_ref()
-                .and_then(Lead::next_write_at)
+                .and_then(Leader::next_write_at)
                 .map_or(tick, |at| (at - now).clamp(DUTY_GAP_S, tick));
             {
                 let work = std::pin::pin!(self.work.take());
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -4,13 +4,16 @@
 
 use serde_json::value::to_raw_value;
 
-use super::standin::stops;
-use super::{ASTRAY_WORKERS, HOLD_REPORTS, Node, PLEA_REPORTS, PLEA_S_MAX, RETRY_S, Seen};
+use super::delegate::stops;
+use super::{
+    HOLD_REPORTS, Node, RETRY_S, STEP_DOWN_REQUEST_REPORTS, STEP_DOWN_REQUEST_S_MAX, Seen,
+    UNREACHABLE_WORKERS,
+};
 use crate::cluster::WorkerSeen;
 use crate::fleet::Source;
 use crate::http::Response;
 use crate::rt::Time;
-use crate::view::{PleaRecord, key};
+use crate::view::{StepDownRequest, key};
 use crate::wire::{self, Condition, Redirect, Report, ReportReply, Txn};
 
 impl Node {
@@ -30,7 +33,7 @@
             let entry = seen.entry(report.machine.clone()).or_insert_with(|| Seen {
                 at: now,
                 redirected: None,
-                astray: None,
+                unreachable_since: None,
                 worker: WorkerSeen {
                     machine: report.machine.clone(),
                     zone: report.zone.clone(),
@@ -81,7 +84,7 @@
         }
         match leader {
             Some((host, token)) if host != self.config.node => {
-                if let Some(answer) = self.stand_in(&report, token).await {
+                if let Some(answer) = self.answer_as_delegate(&report, token).await {
                     return answer;
                 }
                 self.note_redirect(&report, token, now);
@@ -106,31 +109,34 @@
                 .redirected
                 .is_some_and(|(at, t)| t == token && now - at < report_s * 4.0);
             entry.redirected = Some((now, token));
-            entry.astray = (again || report.token == token).then_some(now);
+            entry.unreachable_since = (again || report.token == token).then_some(now);
         }
-        let gone_astray = seen
+        let is_unreachable = seen
             .get(&report.machine)
-            .is_some_and(|s| s.astray.is_some());
-        let pause = (report_s * PLEA_REPORTS).min(PLEA_S_MAX);
-        if !gone_astray || now - self.plea_at.get() <= pause {
+            .is_some_and(|s| s.unreachable_since.is_some());
+        let pause = (report_s * STEP_DOWN_REQUEST_REPORTS).min(STEP_DOWN_REQUEST_S_MAX);
+        if !is_unreachable || now - self.step_down_requested_at.get() <= pause {
             return;
         }
-        let lately = |s: &&Seen| s.astray.is_some_and(|at| now - at < report_s * 2.0);
-        if seen.values().filter(lately).count() >= ASTRAY_WORKERS {
-            self.plea_at.set(now);
-            self.plea.set(Some(token));
-            self.plea_work.set();
+        let lately = |s: &&Seen| {
+            s.unreachable_since
+                .is_some_and(|at| now - at < report_s * 2.0)
+        };
+        if seen.values().filter(lately).count() >= UNREACHABLE_WORKERS {
+            self.step_down_requested_at.set(now);
+            self.step_down_request.set(Some(token));
+            self.step_down_request_work.set();
         }
     }
 
     /// Writes pleas: a leader that hears no worker while others do should give way.
-    pub(super) async fn plea_duty(self: Rc<Self>) {
+    pub(super) async fn step_down_request_duty(self: Rc<Self>) {
         loop {
-            self.plea_work.take().await;
-            let Some(token) = self.plea.take() else {
+            self.step_down_request_work.take().await;
+            let Some(token) = self.step_down_request.take() else {
                 continue;
             };
-            let Ok(value) = to_raw_value(&PleaRecord { token }) else {
+            let Ok(value) = to_raw_value(&StepDownRequest { token }) else {
                 continue;
             };
             let txn = Txn {
@@ -139,7 +145,7 @@
                     version: token,
                 }],
                 changes: vec![wire::Change::Put {
-                    key: key::plea(&self.config.node),
+                    key: key::step_down_request(&self.config.node),
                     value,
                     lease: None,
                 }],
--- a/src/node/tests/chains.rs
+++ b/src/node/tests/chains.rs
@@ -204,7 +204,7 @@
             let node = w.node(w.leader().unwrap()).unwrap();
             let lead = node.lead.borrow();
             let lead = lead.as_ref().unwrap();
-            let known = &lead.jobs[&lead.job_ix("j-2").unwrap()];
+            let known = &lead.jobs[&lead.job_index("j-2").unwrap()];
             assert!(
                 (known.submitted - submitted).abs() < 0.5,
                 "{}",
@@ -234,7 +234,7 @@
             let node = w.node(0).unwrap();
             let lead = node.lead.borrow();
             let lead = lead.as_ref().unwrap();
-            let job = &lead.jobs[&lead.job_ix(id).unwrap()];
+            let job = &lead.jobs[&lead.job_index(id).unwrap()];
             (job.spec.priority, job.needed_by)
         };
         w.run(1.0).await;
--- a/src/node/tests/requests.rs
+++ b/src/node/tests/requests.rs
@@ -54,7 +54,7 @@
                 return answer(404, r#"{"Epoch":7}"#.into());
             }
             if path.contains("After=5&") {
-                asked.raised().await;
+                asked.wait().await;
                 return answer(
                     200,
                     format!(
@@ -87,7 +87,7 @@
     }
 }
 
-/// All workers of a large fleet in one greeting were more than a frame may hold: the links broke
+/// All workers of a large fleet in one heartbeat were more than a frame may hold: the links broke
 /// at each.
 #[test]
 fn greetings_tell_of_a_large_fleet_in_turn() {
@@ -103,7 +103,7 @@
             let seen = Seen {
                 at: node.now(),
                 redirected: None,
-                astray: None,
+                unreachable_since: None,
                 worker: worker.clone(),
             };
             node.seen.borrow_mut().insert(worker.machine, seen);
@@ -111,9 +111,9 @@
         let mut told = String::new();
         let mut all = std::collections::BTreeSet::new();
         for _ in 0..3 {
-            let greeting = node.greeting(&mut told);
-            assert!(greeting.workers.len() <= cluster::WORKERS_TOLD);
-            all.extend(greeting.workers.into_iter().map(|w| w.machine));
+            let heartbeat = node.heartbeat(&mut told);
+            assert!(heartbeat.workers.len() <= cluster::WORKERS_TOLD);
+            all.extend(heartbeat.workers.into_iter().map(|w| w.machine));
         }
         assert_eq!(all.len(), 600);
         rt.stop();
--- a/src/node/tests/world/checks.rs
+++ b/src/node/tests/world/checks.rs
@@ -6,7 +6,7 @@
 
 use super::Worker;
 use crate::config::Config;
-use crate::lead::split_task;
+use crate::leader::split_task;
 use crate::rt::Time;
 use crate::wire::{JobState, Kind, Submission};
 
--- a/src/node/tests/world/gangs.rs
+++ b/src/node/tests/world/gangs.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 
 use super::{Worker, World};
-use crate::lead::split_task;
+use crate::leader::split_task;
 use crate::rt::Time;
-use crate::wire::{Kind, TaskState, Why};
+use crate::wire::{ExitReason, Kind, TaskState};
 
 /// An attempt of a gang: its job and the number of the attempt.
 type Attempt = (String, u64);
@@ -49,7 +49,7 @@
     }
 }
 
-fn set_state(w: &Worker, task: &str, attempt: u64, state: TaskState, why: Option<Why>) {
+fn set_state(w: &Worker, task: &str, attempt: u64, state: TaskState, why: Option<ExitReason>) {
     let mut fake = w.fake.borrow_mut();
     let tasks = fake.report.tasks.iter_mut();
     for t in tasks.filter(|t| t.task == task && t.attempt == attempt) {
@@ -103,7 +103,7 @@
             for task in 0..spec.tasks {
                 self.checks.completed(&format!("{}/{task}", spec.id));
             }
-            self.exit_all(attempt, members, Why::Done);
+            self.exit_all(attempt, members, ExitReason::Done);
             return;
         }
         let complete = members.len() == spec.tasks as usize;
@@ -117,14 +117,14 @@
                 .waiting_since
                 .is_some_and(|since| now - since > w.gang_wait_s)
             {
-                self.exit_all(attempt, members, Why::Alone);
+                self.exit_all(attempt, members, ExitReason::Incomplete);
             }
         } else if complete && able {
             progress.broken_at = None;
         } else {
             let since = *progress.broken_at.get_or_insert(now);
             if now - since > w.gang_peer_s / 2.0 {
-                self.exit_all(attempt, members, Why::Peers);
+                self.exit_all(attempt, members, ExitReason::Peers);
             }
         }
     }
@@ -141,7 +141,7 @@
     }
 
     /// All tasks of an attempt exit, but for those on machines that hang.
-    fn exit_all(&self, attempt: &Attempt, members: &[Member], why: Why) {
+    fn exit_all(&self, attempt: &Attempt, members: &[Member], why: ExitReason) {
         let now = self.now();
         for m in members.iter().filter(|m| !m.done && !m.worker.hangs(now)) {
             set_state(&m.worker, &m.task, attempt.1, TaskState::Exited, Some(why));
--- a/src/node/tests/world/state.rs
+++ b/src/node/tests/world/state.rs
@@ -11,7 +11,7 @@
 
 use super::{LIMITS, NODES, addr};
 use crate::http::{Request, Response, serve};
-use crate::lead::TxnOutcome;
+use crate::leader::TxnOutcome;
 use crate::rt::{Pulse, Rt, Scope, Time};
 use crate::testing::FakeStore;
 use crate::tests::production::{self, Read};
--- a/src/node/tests/world/users.rs
+++ b/src/node/tests/world/users.rs
@@ -18,7 +18,7 @@
 const FORGOTTEN_S: f64 = 75.0;
 
 #[derive(Deserialize)]
-struct Told {
+struct Recorded {
     #[serde(rename = "Uid")]
     id: String,
     #[serde(rename = "Status")]
@@ -45,7 +45,7 @@
         let Ok((status, body)) = call else {
             return (0, None);
         };
-        let told: Option<Told> = serde_json::from_slice(&body).ok();
+        let told: Option<Recorded> = serde_json::from_slice(&body).ok();
         let told = told.filter(|_| matches!(status, 200 | 201));
         let before = before.unwrap_or_default();
         let now = self.now();
@@ -190,7 +190,7 @@
                 }
                 let sessions = |w: &World| w.all_workers().iter().any(|k| k.lost_a_session());
                 if complete && told.1.is_some() && !sessions(self) {
-                    // Told at the latest a little after its last task has completed, unless nobody could
+                    // Recorded at the latest a little after its last task has completed, unless nobody could
                     // see that in time.
                     self.run(LAG_S).await;
                     let told = self.ask(turn % NODES, &id).await;
--- a/src/node/tests/world/workers.rs
+++ b/src/node/tests/world/workers.rs
@@ -6,10 +6,10 @@
 
 use super::{NODES, TICK_S, World, addr, front};
 use crate::http::{Client, Request, Response};
-use crate::lead::split_task;
+use crate::leader::split_task;
 use crate::rt::{Rt, Time};
 use crate::testing::FakeWorker;
-use crate::wire::{Command, Kind, Report, ReportReply, ReportTask, TaskState, Why, path};
+use crate::wire::{Command, ExitReason, Kind, Report, ReportReply, ReportTask, TaskState, path};
 
 const ANSWER_S: f64 = 4.0;
 const AGAIN_S: f64 = 1.0;
@@ -66,7 +66,7 @@
         let fake = self.fake.borrow();
         let tasks = fake.report.tasks.iter();
         tasks
-            .filter(|t| t.state == TaskState::Exited && t.why == Some(Why::Done))
+            .filter(|t| t.state == TaskState::Exited && t.why == Some(ExitReason::Done))
             .cloned()
             .collect()
     }
@@ -175,7 +175,7 @@
                 let over = w.ends.borrow().get(&key).is_some_and(|end| *end <= now);
                 if t.state == TaskState::Running && over {
                     t.state = TaskState::Exited;
-                    t.why = Some(Why::Done);
+                    t.why = Some(ExitReason::Done);
                     self.checks.completed(&t.task);
                     w.report_change(now);
                 }
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -11,7 +11,7 @@
 use crate::api::{is_job_id, job_answer, never_runs, parse_submission};
 use crate::config::StateLimits;
 use crate::http::{Request, Response};
-use crate::lead::TxnOutcome;
+use crate::leader::TxnOutcome;
 use crate::view::{End, EndRecord, JobRecord, JobView, key};
 use crate::wire::{self, Condition, JobState, Kind, Submission, Txn, path};
 
@@ -166,7 +166,7 @@
         needs.any(|need| need.status("").state == JobState::Cancelled)
     }
 
-    /// Why a job could never begin for what it waits on, if so.
+    /// ExitReason a job could never begin for what it waits on, if so.
     fn waits_in_vain(&self, job: &Submission) -> Option<String> {
         let view = self.view.borrow();
         job.waits_on.iter().find_map(|id| {
--- a/src/preempt.rs
+++ b/src/preempt.rs
@@ -3,11 +3,11 @@
 //! Only large work needs it: small work takes what comes free as other small tasks end, in order.
 
 use crate::autoscale::{Class, Unit};
-use crate::book::{JobIx, MachineIx};
-use crate::lead::Lead;
+use crate::jobs::{JobIndex, MachineIndex};
+use crate::leader::Leader;
 use crate::rt::Time;
 
-impl Lead {
+impl Leader {
     /// Stops small tasks of lower priority where large work waits and no machine can be had.
     pub(crate) fn make_room(&mut self, class: &Class, units: &[Unit], now: Time) {
         let ready = units
@@ -15,19 +15,19 @@
             .filter(|u| u.large && u.up && !u.has_small && !u.has_large)
             .count();
         let wanted = class.pending as usize;
-        let clearing: Vec<MachineIx> = units
+        let clearing: Vec<MachineIndex> = units
             .iter()
             .filter(|u| u.large && u.has_small)
-            .filter_map(|u| u.ix)
+            .filter_map(|u| u.index)
             .take(wanted.saturating_sub(ready))
             .collect();
         let mut off = Vec::new();
-        for ix in clearing {
+        for index in clearing {
             let jobs = &self.jobs;
-            let Some(m) = self.fleet.machines.get_mut(&ix) else {
+            let Some(m) = self.fleet.machines.get_mut(&index) else {
                 continue;
             };
-            let lower = |job: JobIx| jobs[&job].spec.priority < class.spec.priority;
+            let lower = |job: JobIndex| jobs[&job].spec.priority < class.spec.priority;
             if !m.slots.iter().all(|(k, s)| s.over || lower(k.job)) {
                 continue;
             }
@@ -36,16 +36,16 @@
                     continue;
                 }
                 if slot.is_unsent() {
-                    off.push((ix, *key));
+                    off.push((index, *key));
                 } else {
                     slot.stop = Some(jobs[&key.job].spec.save_s);
                     m.direct_wanted = true;
-                    self.fleet.calls.insert(ix);
+                    self.fleet.calls.insert(index);
                 }
             }
         }
-        for (ix, key) in off {
-            self.off(ix, key, now);
+        for (index, key) in off {
+            self.off(index, key, now);
         }
     }
 }
--- a/src/rt.rs
+++ b/src/rt.rs
@@ -442,12 +442,12 @@
 
     /// Waits until the flag is set, and clears it.
     pub async fn take(&self) {
-        self.raised().await;
+        self.wait().await;
         self.clear();
     }
 
     /// Waits until the flag is set.
-    pub fn raised(&self) -> Raised<'_> {
+    pub fn wait(&self) -> Raised<'_> {
         self.next_id.set(self.next_id.get() + 1);
         Raised {
             signal: self,
@@ -605,7 +605,7 @@
         self.rt.spawn(async move {
             {
                 let work = std::pin::pin!(work);
-                let cancel = std::pin::pin!(shared.cancel.raised());
+                let cancel = std::pin::pin!(shared.cancel.wait());
                 select(work, cancel).await;
             }
             shared.live.set(shared.live.get() - 1);
--- a/src/rt/pipe.rs
+++ b/src/rt/pipe.rs
@@ -193,7 +193,7 @@
     pub async fn readable(&self) {
         while self.is_quiet() {
             self.from.moved.clear();
-            self.from.moved.raised().await;
+            self.from.moved.wait().await;
         }
     }
 
--- a/src/rt/tests.rs
+++ b/src/rt/tests.rs
@@ -48,7 +48,7 @@
             std::future::pending::<()>().await;
         });
         root.spawn(async move {
-            started.raised().await;
+            started.wait().await;
             drop(parent);
             while ended.ended.borrow().len() < 2 {
                 ended.more.take().await;
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 
 use crate::autoscale::tasks_that_fit;
-use crate::book::{Job, JobIx, MachineIx, amount, rank};
 use crate::fleet::{Machine, Role, cache_of};
 use crate::images::fetch_s;
-use crate::lead::{Lead, type_allowed};
+use crate::jobs::{Job, JobIndex, MachineIndex, amount, rank};
+use crate::leader::{Leader, type_allowed};
 use crate::picker::{Picker, Tier};
 use crate::pricing::{Amount, Candidate};
 use crate::rt::Time;
@@ -44,10 +44,10 @@
 
 /// A machine as one placement pass sees it.
 struct Place {
-    ix: MachineIx,
+    index: MachineIndex,
     zone: Rc<str>,
     spot: bool,
-    type_ix: usize,
+    type_index: usize,
     role: Role,
     /// Jobs below this priority may borrow it although it is kept for large work.
     lend_below: Option<Priority>,
@@ -96,7 +96,7 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// Places what can be placed. What it decides is launched once it is stored.
     pub fn plan(&mut self, now: Time) {
         if !std::mem::take(&mut self.changed) || self.active.is_empty() {
@@ -108,30 +108,30 @@
         }
         let mut no_room: Vec<NoRoom> = Vec::new();
         let mut keeping = false;
-        for ix in self.order(now) {
-            let job = &self.jobs[&ix];
+        for index in self.order(now) {
+            let job = &self.jobs[&index];
             let spec = job.spec.clone();
             let tasks = if job.is_gang() { spec.tasks } else { 1 };
             if no_room.iter().any(|n| n.tells(&spec, tasks)) {
                 continue;
             }
-            let placed = if self.jobs[&ix].is_gang() {
-                self.place_gang(ix, &mut places, now)
+            let placed = if self.jobs[&index].is_gang() {
+                self.place_gang(index, &mut places, now)
             } else {
-                self.place_array(ix, &mut places, now)
+                self.place_array(index, &mut places, now)
             };
             if placed != Placed::All {
-                if !self.jobs[&ix].is_gang() {
-                    self.hold_holes(ix, &mut places);
+                if !self.jobs[&index].is_gang() {
+                    self.hold_holes(index, &mut places);
                 }
-                if !keeping && self.gathers(&self.jobs[&ix], now) {
-                    keeping = self.keep_room(ix, &mut places, now);
+                if !keeping && self.gathers(&self.jobs[&index], now) {
+                    keeping = self.keep_room(index, &mut places, now);
                 }
                 let far = placed == Placed::Far;
                 no_room.push(NoRoom { spec, tasks, far });
             }
-            if self.jobs[&ix].pending() == 0 {
-                self.active.remove(&ix);
+            if self.jobs[&index].pending() == 0 {
+                self.active.remove(&index);
             }
         }
     }
@@ -142,23 +142,23 @@
         let costs: Vec<[f64; 2]> = (0..self.types.len())
             .map(|t| [self.unit_price(t, false), self.unit_price(t, true)])
             .collect();
-        let waiting = self.active.iter().map(|ix| self.jobs[ix].amount());
+        let waiting = self.active.iter().map(|index| self.jobs[index].amount());
         let smallest = waiting.reduce(Amount::least).unwrap_or_default();
         let mut places: Vec<Place> = self
             .fleet
             .machines
             .iter()
             .filter(|(_, m)| smallest.fits(m.capacity.minus(m.used)) && self.is_open(m, now))
-            .filter_map(|(ix, m)| {
-                let type_ix = m.type_ix?;
+            .filter_map(|(index, m)| {
+                let type_index = m.type_index?;
                 Some(Place {
-                    ix: *ix,
+                    index: *index,
                     zone: m.zone.clone(),
                     spot: m.spot,
-                    type_ix,
+                    type_index,
                     role: m.role,
                     lend_below: None,
-                    cost: costs[type_ix][usize::from(m.spot)],
+                    cost: costs[type_index][usize::from(m.spot)],
                     kept: false,
                     now: Candidate {
                         capacity: m.capacity,
@@ -170,11 +170,11 @@
             .collect();
         let mut lend: HashMap<usize, Option<Priority>> = HashMap::new();
         for place in places.iter_mut().filter(|p| p.role != Role::Shared) {
-            let type_ix = place.type_ix;
-            let below = lend.entry(type_ix);
-            let below = *below.or_insert_with(|| self.lend_below(type_ix));
+            let type_index = place.type_index;
+            let below = lend.entry(type_index);
+            let below = *below.or_insert_with(|| self.lend_below(type_index));
             let surplus = |m: &Machine| m.surplus_since.is_some();
-            place.lend_below = below.filter(|_| !surplus(&self.fleet.machines[&place.ix]));
+            place.lend_below = below.filter(|_| !surplus(&self.fleet.machines[&place.index]));
         }
         places
     }
@@ -273,29 +273,29 @@
     /// The jobs that wait, in the order in which they are placed: by priority, then gangs that
     /// machines are gathered for, then those within
     /// their team's guarantee, then by what is due first, then by age.
-    pub(crate) fn order(&self, now: Time) -> Vec<JobIx> {
+    pub(crate) fn order(&self, now: Time) -> Vec<JobIndex> {
         let teams = &self.config.deployment.teams;
         // What each team's earlier unfinished jobs may use of its guarantee.
         let mut claimed: HashMap<usize, Amount> = HashMap::new();
         let guaranteed = teams.iter().any(|t| t.cpus > 0.0 || t.gpus > 0.0);
-        let mut within: HashMap<JobIx, bool> = HashMap::new();
+        let mut within: HashMap<JobIndex, bool> = HashMap::new();
         if guaranteed {
             let mut unfinished: Vec<&Job> = Vec::new();
-            let mut ixs: Vec<(&JobIx, &Job)> = self
+            let mut ixs: Vec<(&JobIndex, &Job)> = self
                 .jobs
                 .iter()
                 .filter(|(_, j)| j.ended.is_none() && !j.waits)
                 .collect();
             ixs.sort_by_key(|(_, j)| j.order);
             unfinished.reserve(ixs.len());
-            for (ix, job) in ixs {
+            for (index, job) in ixs {
                 let left = f64::from(job.spec.tasks - job.done);
                 let claim = claimed.entry(job.team).or_default();
                 *claim = claim.plus(job.amount().times(left));
                 let team = &teams[job.team];
                 let fits = |claim: f64, share: f64, own: f64| own <= 0.0 || claim <= share + 1e-6;
                 within.insert(
-                    *ix,
+                    *index,
                     (team.cpus > 0.0 || team.gpus > 0.0)
                         && fits(claim.cpus, team.cpus, job.spec.cpus)
                         && fits(claim.gpus, team.gpus, job.spec.gpus),
@@ -303,37 +303,37 @@
             }
         }
         let fleet: f64 = self.fleet.machines.values().map(|m| m.capacity.cpus).sum();
-        let mut order: Vec<(usize, bool, bool, i64, u64, JobIx)> = self
+        let mut order: Vec<(usize, bool, bool, i64, u64, JobIndex)> = self
             .active
             .iter()
-            .filter_map(|ix| {
-                let job = self.jobs.get(ix)?;
+            .filter_map(|index| {
+                let job = self.jobs.get(index)?;
                 (job.not_before <= now).then(|| {
                     (
                         3 - rank(job.spec.priority),
                         !self.gathers(job, now),
-                        !within.get(ix).copied().unwrap_or(false),
+                        !within.get(index).copied().unwrap_or(false),
                         ((self.due(job, now) + self.size_s(job, fleet)) * 1000.0) as i64,
                         job.order,
-                        *ix,
+                        *index,
                     )
                 })
             })
             .collect();
         order.sort_unstable();
-        order.into_iter().map(|(.., ix)| ix).collect()
+        order.into_iter().map(|(.., index)| index).collect()
     }
 
     /// Places what it can of an array's tasks; whether machines had room for them.
-    fn place_array(&mut self, ix: JobIx, places: &mut [Place], now: Time) -> Placed {
-        let job = &self.jobs[&ix];
+    fn place_array(&mut self, index: JobIndex, places: &mut [Place], now: Time) -> Placed {
+        let job = &self.jobs[&index];
         let spec = job.spec.clone();
         let amount = job.amount();
         let team = job.team;
-        let mut zones = Zones::new(&spec, self.zones_taken(ix));
-        let mut picker = self.picker(ix, places, now, |_| true);
+        let mut zones = Zones::new(&spec, self.zones_taken(index));
+        let mut picker = self.picker(index, places, now, |_| true);
         let attempt = self.fresh_attempt();
-        while self.jobs[&ix].pending() > 0 {
+        while self.jobs[&index].pending() > 0 {
             if !self.team_allows(team, amount) {
                 return Placed::All;
             }
@@ -344,20 +344,20 @@
                     Placed::Full
                 };
             };
-            let Some(task) = self.jobs.get_mut(&ix).and_then(Job::take_pending) else {
+            let Some(task) = self.jobs.get_mut(&index).and_then(Job::take_pending) else {
                 return Placed::All;
             };
             let place = &mut places[at];
             place.now = after;
             zones.add(&place.zone);
-            self.bind_at(ix, task, place, attempt, now);
+            self.bind_at(index, task, place, attempt, now);
         }
         Placed::All
     }
 
     /// All tasks of a gang are placed, or none; whether machines had room for all.
-    fn place_gang(&mut self, ix: JobIx, places: &mut [Place], now: Time) -> Placed {
-        let job = &self.jobs[&ix];
+    fn place_gang(&mut self, index: JobIndex, places: &mut [Place], now: Time) -> Placed {
+        let job = &self.jobs[&index];
         // Tasks of the former attempt keep their machines and zones until they are off.
         if job.bound > 0 || job.slots > 0 {
             return Placed::All;
@@ -377,7 +377,7 @@
         for zone in only {
             let mut zones = Zones::new(&spec, HashMap::new());
             let here = |p: &Place| zone.as_ref().is_none_or(|z| *z == p.zone);
-            let mut picker = self.picker(ix, places, now, here);
+            let mut picker = self.picker(index, places, now, here);
             let mut chosen = Vec::new();
             while chosen.len() < spec.tasks as usize {
                 let Some(picked) = picker.pick(|at| zones.allow(&places[at].zone)) else {
@@ -391,11 +391,11 @@
             }
             let attempt = self.fresh_attempt();
             for (at, after) in chosen {
-                let Some(task) = self.jobs.get_mut(&ix).and_then(Job::take_pending) else {
+                let Some(task) = self.jobs.get_mut(&index).and_then(Job::take_pending) else {
                     return Placed::All;
                 };
                 places[at].now = after;
-                self.bind_at(ix, task, &places[at], attempt, now);
+                self.bind_at(index, task, &places[at], attempt, now);
             }
             return Placed::All;
         }
@@ -405,8 +405,8 @@
     /// Keeps what is free on some machines, and too little for a task that waits, from all that comes
     /// later in this pass: as many as there are such tasks. Small tasks once took each hole that
     /// came free on a full fleet, and urgent ones that take a little more waited for minutes.
-    fn hold_holes(&self, ix: JobIx, places: &mut [Place]) {
-        let job = &self.jobs[&ix];
+    fn hold_holes(&self, index: JobIndex, places: &mut [Place]) {
+        let job = &self.jobs[&index];
         let spec = &job.spec;
         let amount = job.amount();
         let mut left = job.pending();
@@ -417,7 +417,7 @@
             let share = amount.largest_share(p.now.capacity);
             if !p.kept
                 && share <= HOLE_SHARE_MAX
-                && type_allowed(spec, &self.types[p.type_ix])
+                && type_allowed(spec, &self.types[p.type_index])
                 && (spec.spot || !p.spot)
                 && spec.zone.as_ref().is_none_or(|z| **z == *p.zone)
                 && p.role == Role::Shared
@@ -438,20 +438,20 @@
     /// Keeps the room that a gang could use from all that comes later in this pass, if there are
     /// machines enough for it in the end. Small gangs once took each large machine that came free,
     /// and those of sixteen tasks waited for minutes.
-    fn keep_room(&self, ix: JobIx, places: &mut [Place], now: Time) -> bool {
-        let job = &self.jobs[&ix];
+    fn keep_room(&self, index: JobIndex, places: &mut [Place], now: Time) -> bool {
+        let job = &self.jobs[&index];
         let spec = &job.spec;
         let amount = job.amount();
-        let suits = |type_ix: usize, spot: bool, zone: &str, role: Role| {
-            type_allowed(spec, &self.types[type_ix])
+        let suits = |type_index: usize, spot: bool, zone: &str, role: Role| {
+            type_allowed(spec, &self.types[type_index])
                 && (spec.spot || !spot)
                 && spec.zone.as_ref().is_none_or(|z| z == zone)
-                && (role == Role::Large || !self.is_large_on(amount, type_ix))
+                && (role == Role::Large || !self.is_large_on(amount, type_index))
         };
         let mut by_zone: HashMap<Rc<str>, usize> = HashMap::new();
         for m in self.fleet.machines.values() {
-            let type_ix = m.type_ix.filter(|t| suits(*t, m.spot, &m.zone, m.role));
-            if type_ix.is_some() && self.is_open(m, now) {
+            let type_index = m.type_index.filter(|t| suits(*t, m.spot, &m.zone, m.role));
+            if type_index.is_some() && self.is_open(m, now) {
                 let fit = tasks_that_fit(amount, m.capacity) as usize;
                 *by_zone.entry(m.zone.clone()).or_insert(0) += fit;
             }
@@ -473,15 +473,15 @@
         for p in places.iter_mut() {
             let room = p.now.capacity.minus(p.now.used);
             let here = zone.as_ref().is_none_or(|z| *z == p.zone);
-            let suits = suits(p.type_ix, p.spot, &p.zone, p.role);
+            let suits = suits(p.type_index, p.spot, &p.zone, p.role);
             p.kept = here && suits && amount.fits(room);
         }
         true
     }
 
-    fn bind_at(&mut self, ix: JobIx, task: u32, place: &Place, attempt: u64, now: Time) {
-        self.bind(ix, task, place.ix, attempt, now);
-        if let Some(m) = self.fleet.machines.get_mut(&place.ix) {
+    fn bind_at(&mut self, index: JobIndex, task: u32, place: &Place, attempt: u64, now: Time) {
+        self.bind(index, task, place.index, attempt, now);
+        if let Some(m) = self.fleet.machines.get_mut(&place.index) {
             m.price = place.now.price;
         }
     }
@@ -491,12 +491,12 @@
     /// what runs there may have to make way.
     fn picker(
         &self,
-        ix: JobIx,
+        index: JobIndex,
         places: &[Place],
         now: Time,
         here: impl Fn(&Place) -> bool,
     ) -> Picker {
-        let job = &self.jobs[&ix];
+        let job = &self.jobs[&index];
         let spec = &job.spec;
         let amount = job.amount();
         let weight = self.config.tunables.weights[rank(spec.priority)];
@@ -507,7 +507,7 @@
             })
             .collect();
         let allowed = |p: &Place| {
-            let t = types[p.type_ix];
+            let t = types[p.type_index];
             // Machines kept for large work are not sliced up by small tasks; large work may also
             // take a shared machine that has room for it.
             let lent = p.lend_below.is_some_and(|below| spec.priority < below);
@@ -519,7 +519,7 @@
                 && here(p)
         };
         // Machines where the job's tasks failed are left out if there are others.
-        let healthy = |p: &Place| !job.failed_on.contains(&p.ix);
+        let healthy = |p: &Place| !job.failed_on.contains(&p.index);
         let any_healthy =
             job.failed_on.is_empty() || places.iter().any(|p| allowed(p) && healthy(p));
         let patience = Patience {
@@ -539,7 +539,7 @@
                 picker.leave_out();
                 continue;
             };
-            let borrowed = p.role != Role::Shared && !types[p.type_ix].large;
+            let borrowed = p.role != Role::Shared && !types[p.type_index].large;
             let tier = Tier {
                 revocable: avoids_spot && p.spot,
                 far,
@@ -560,7 +560,7 @@
     /// How far a job's image is from a machine, now and once it was asked for. None if the machine
     /// is so busy with other images that others will have it sooner.
     fn distance(&self, p: &Place, spec: &Submission, by: Patience, now: Time) -> Option<(u8, u8)> {
-        let Some(m) = self.fleet.machines.get(&p.ix) else {
+        let Some(m) = self.fleet.machines.get(&p.index) else {
             return Some((0, 0));
         };
         let rest_s = m.images.rest_s(&spec.image, now);
@@ -569,7 +569,7 @@
             let far = u8::from(rest_s.is_none());
             return Some((far, far));
         }
-        let own_s = fetch_s(spec.image_gb, cache_of(&self.types[p.type_ix]));
+        let own_s = fetch_s(spec.image_gb, cache_of(&self.types[p.type_index]));
         let there_s = rest_s.unwrap_or_else(|| m.images.busy_s(now) + own_s);
         if there_s > own_s * FETCH_QUEUE + by.waited_s * FETCH_PATIENCE
             || (rest_s.is_none() && by.waited_s < own_s * by.spread)
@@ -592,9 +592,9 @@
     }
 
     /// In which zones tasks of a job are or may be, those of former attempts included.
-    fn zones_taken(&self, ix: JobIx) -> HashMap<Rc<str>, u32> {
+    fn zones_taken(&self, index: JobIndex) -> HashMap<Rc<str>, u32> {
         let mut zones = HashMap::new();
-        let spec = &self.jobs[&ix].spec;
+        let spec = &self.jobs[&index].spec;
         if !spec.one_zone && !spec.spread {
             return zones;
         }
@@ -602,7 +602,7 @@
             let n = m
                 .slots
                 .iter()
-                .filter(|(key, slot)| key.job == ix && !slot.over)
+                .filter(|(key, slot)| key.job == index && !slot.over)
                 .count();
             if n > 0 {
                 *zones.entry(m.zone.clone()).or_insert(0) += n as u32;
--- a/src/store.rs
+++ b/src/store.rs
@@ -6,11 +6,11 @@
 
 use crate::config::Config;
 use crate::http::{CallError, Client};
-use crate::lead::TxnOutcome;
+use crate::leader::TxnOutcome;
 use crate::rt::{Bucket, Rt};
 use crate::wire::{Events, KeyPage, KeyValue, LeaseAsk, LeaseGrant, Txn, TxnReply, path};
 
-/// Why the state service gave no use.
+/// ExitReason the state service gave no use.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     #[error("refused with status {0}")]
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -6,15 +6,15 @@
 
 use serde_json::value::{RawValue, to_raw_value};
 
+use crate::arrivals::ArrivalForecast;
 use crate::config::Config;
-use crate::expect::Expected;
 use crate::fleet::Source;
-use crate::lead::{AfterTxn, Lead, TxnOutcome};
+use crate::leader::{AfterTxn, Leader, TxnOutcome};
 use crate::rt::Time;
 use crate::view::{End, LeaderRecord, View, key};
 use crate::wire::{
-    Change, Command, Kind, MachineType, MachineTypes, Priority, Report, ReportTask, Submission,
-    TaskState, Txn, Why,
+    Change, Command, ExitReason, Kind, MachineType, MachineTypes, Priority, Report, ReportTask,
+    Submission, TaskState, Txn,
 };
 
 /// Two machine types.
@@ -115,24 +115,24 @@
     }
 
     /// Takes the office for a new leader.
-    pub fn elect(&mut self, host: &str, now: Time) -> Lead {
+    pub fn elect(&mut self, host: &str, now: Time) -> Leader {
         self.elect_with(crate::config::tests::sample(), host, now)
     }
 
     /// The same with these settings.
-    pub fn elect_with(&mut self, config: Config, host: &str, now: Time) -> Lead {
+    pub fn elect_with(&mut self, config: Config, host: &str, now: Time) -> Leader {
         let record = LeaderRecord {
             host: host.into(),
             incarnation: 1,
         };
         let token = self.put(key::leader(), &record);
         let config = Rc::new(config);
-        let expected = Rc::new(RefCell::new(Expected::new(3.0, 120.0, now)));
-        Lead::begin(config, token, Rc::new(types()), &self.view(), expected, now)
+        let expected = Rc::new(RefCell::new(ArrivalForecast::new(3.0, 120.0, now)));
+        Leader::begin(config, token, Rc::new(types()), &self.view(), expected, now)
     }
 
     /// Lets a leader place and write until it has nothing more to write at `now`.
-    pub fn settle(&mut self, lead: &mut Lead, now: Time) {
+    pub fn settle(&mut self, lead: &mut Leader, now: Time) {
         lead.plan(now);
         while let Some(txn) = lead.next_txn(now) {
             let outcome = self.apply(&txn);
@@ -205,7 +205,7 @@
                         .filter(|t| t.task == *task && t.attempt == *attempt)
                     {
                         t.state = TaskState::Exited;
-                        t.why.get_or_insert(Why::Stopped);
+                        t.why.get_or_insert(ExitReason::Stopped);
                     }
                 }
                 Command::Forget { task, attempt } => tasks.retain(|t| {
@@ -216,7 +216,7 @@
     }
 
     /// Reports to a leader and carries out its answer; returns the commands.
-    pub fn checkin(&mut self, lead: &mut Lead, now: Time) -> Vec<Command> {
+    pub fn checkin(&mut self, lead: &mut Leader, now: Time) -> Vec<Command> {
         let report = self.next();
         let Some(mut commands) = lead.on_report(&report, Source::Checkin, now) else {
             return Vec::new();
@@ -227,7 +227,7 @@
     }
 
     /// Ends a task for a reason.
-    pub fn end(&mut self, task: &str, why: Why) {
+    pub fn end(&mut self, task: &str, why: ExitReason) {
         for t in self.report.tasks.iter_mut().filter(|t| t.task == task) {
             t.state = TaskState::Exited;
             t.why = Some(why);
--- a/src/tests/dependency_graphs.rs
+++ b/src/tests/dependency_graphs.rs
@@ -9,9 +9,9 @@
 use rand::{RngExt, SeedableRng};
 use serde_json::value::to_raw_value;
 
-use crate::expect::Expected;
+use crate::arrivals::ArrivalForecast;
 use crate::graph;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::rt::Time;
 use crate::testing::{FakeStore, job, types};
 use crate::view::{End, EndRecord, JobRecord, View, key};
@@ -142,9 +142,9 @@
 }
 
 /// By when a job must be done for what needs it to be in time.
-fn needed_by(jobs: &[Generated], at: usize, lead: &Lead) -> Time {
+fn needed_by(jobs: &[Generated], at: usize, lead: &Leader) -> Time {
     let times = dependents(jobs, at).map(|k| {
-        let known = &lead.jobs[&lead.job_ix(&jobs[k].spec.id).unwrap()];
+        let known = &lead.jobs[&lead.job_index(&jobs[k].spec.id).unwrap()];
         let own = known.spec.deadline_s.map(|s| known.submitted + s);
         let done_by = own.unwrap_or(f64::INFINITY).min(needed_by(jobs, k, lead));
         done_by - lead.run_s(known)
@@ -233,7 +233,7 @@
         } else {
             return view;
         }
-        let changes = view.take_moved(revision as f64);
+        let changes = view.take_changes(revision as f64);
         for id in changes.ready {
             assert!(!cancelled.contains(&id), "{id} is cancelled");
             assert!(ready.insert(id.clone()), "{id} became ready twice");
@@ -264,15 +264,15 @@
     (store, view)
 }
 
-fn lead(view: &View, now: Time) -> Lead {
+fn lead(view: &View, now: Time) -> Leader {
     let config = Rc::new(crate::config::tests::sample());
-    let expected = Rc::new(RefCell::new(Expected::new(3.0, 120.0, now)));
-    Lead::begin(config, 1000, Rc::new(types()), view, expected, now)
+    let expected = Rc::new(RefCell::new(ArrivalForecast::new(3.0, 120.0, now)));
+    Leader::begin(config, 1000, Rc::new(types()), view, expected, now)
 }
 
-fn assert_demands(lead: &Lead, jobs: &[Generated]) {
+fn assert_demands(lead: &Leader, jobs: &[Generated]) {
     for (at, job) in jobs.iter().enumerate().filter(|(at, _)| is_open(jobs, *at)) {
-        let known = &lead.jobs[&lead.job_ix(&job.spec.id).unwrap()];
+        let known = &lead.jobs[&lead.job_index(&job.spec.id).unwrap()];
         assert_eq!(known.spec.priority, priority(jobs, at), "{}", job.spec.id);
         let expected = needed_by(jobs, at, lead);
         let equal = known.needed_by == expected || (known.needed_by - expected).abs() < 1e-9;
@@ -304,7 +304,7 @@
         let reader = lead(&view, now);
         assert_demands(&reader, &jobs);
         for (at, job) in jobs.iter().enumerate().filter(|(_, j)| j.end.is_none()) {
-            let known = &reader.jobs[&reader.job_ix(&job.spec.id).unwrap()];
+            let known = &reader.jobs[&reader.job_index(&job.spec.id).unwrap()];
             if job.has_time {
                 let off_s = (known.submitted - submitted_at(at)).abs();
                 assert!(off_s <= SKEW_S + 0.002, "{}: {off_s}", job.spec.id);
--- a/src/tests/graph.rs
+++ b/src/tests/graph.rs
@@ -16,8 +16,8 @@
     ids.iter().map(|id| (*id).to_owned()).collect()
 }
 
-fn open(_: &str) -> Standing {
-    Standing::Open
+fn open(_: &str) -> JobOutcome {
+    JobOutcome::Open
 }
 
 #[test]
@@ -28,13 +28,13 @@
     graph.ended(&"a".into(), true);
     // An end that comes again counts once.
     graph.ended(&"a".into(), true);
-    assert_eq!(graph.take_moved(), Moved::default());
+    assert_eq!(graph.take_changes(), ReadinessChanges::default());
     graph.ended(&"b".into(), true);
-    assert_eq!(names(&graph.take_moved().ready), ["c"]);
+    assert_eq!(names(&graph.take_changes().ready), ["c"]);
     assert!(!graph.is_waiting("c") && graph.is_waiting("d"));
     // Submitted when all is over.
-    graph.add(&"e".into(), &needs(&["a", "b"]), |_| Standing::Done);
-    assert_eq!(names(&graph.take_moved().ready), ["e"]);
+    graph.add(&"e".into(), &needs(&["a", "b"]), |_| JobOutcome::Done);
+    assert_eq!(names(&graph.take_changes().ready), ["e"]);
 }
 
 #[test]
@@ -45,17 +45,17 @@
     graph.add(&"d".into(), &needs(&["b", "c"]), open);
     graph.add(&"y".into(), &needs(&["x"]), open);
     graph.ended(&"a".into(), false);
-    assert_eq!(names(&graph.take_moved().cancelled), ["b", "c", "d"]);
+    assert_eq!(names(&graph.take_changes().cancelled), ["b", "c", "d"]);
     // One that names a job that is cancelled by what it needs.
     graph.add(&"e".into(), &needs(&["x", "d"]), open);
-    assert_eq!(names(&graph.take_moved().cancelled), ["e"]);
+    assert_eq!(names(&graph.take_changes().cancelled), ["e"]);
     graph.ended(&"x".into(), true);
-    assert_eq!(names(&graph.take_moved().ready), ["y"]);
+    assert_eq!(names(&graph.take_changes().ready), ["y"]);
     // The ends that follow from it, once stored, change nothing.
     graph.ended(&"b".into(), false);
-    assert_eq!(graph.take_moved(), Moved::default());
-    graph.add(&"f".into(), &needs(&["b"]), |_| Standing::Cancelled);
-    assert_eq!(names(&graph.take_moved().cancelled), ["f"]);
+    assert_eq!(graph.take_changes(), ReadinessChanges::default());
+    graph.add(&"f".into(), &needs(&["b"]), |_| JobOutcome::Cancelled);
+    assert_eq!(names(&graph.take_changes().cancelled), ["f"]);
 }
 
 #[test]
@@ -67,7 +67,7 @@
         graph.add(&name(LONG + n).into(), &[name(0)], open);
     }
     graph.ended(&name(0).into(), false);
-    assert_eq!(graph.take_moved().cancelled.len(), 2 * (LONG - 1));
+    assert_eq!(graph.take_changes().cancelled.len(), 2 * (LONG - 1));
     let mut priority = vec![0; LONG];
     priority[LONG - 1] = 3;
     pass_back(
--- a/src/tests/production.rs
+++ b/src/tests/production.rs
@@ -13,12 +13,12 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PleaRecord {
+pub struct StepDownRequest {
     pub token: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct StandInRecord {
+pub struct DelegationRecord {
     pub token: u64,
     pub zone: String,
     pub over: bool,
@@ -170,7 +170,7 @@
 
 /// The frame that controllers send one another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Greeting {
+pub struct Heartbeat {
     pub host: String,
     pub state_s: Option<f64>,
     pub workers: Vec<WorkerSeen>,
@@ -217,8 +217,8 @@
     match family {
         "leader" => rewrite::<LeaderRecord>(value),
         "types" => rewrite::<Vec<MachineType>>(value),
-        "plea" => rewrite::<PleaRecord>(value),
-        "standin" => rewrite::<StandInRecord>(value),
+        "plea" => rewrite::<StepDownRequest>(value),
+        "standin" => rewrite::<DelegationRecord>(value),
         "relay" => rewrite::<RelayRecord>(value),
         "job" => rewrite::<Submission>(value),
         "end" => rewrite::<EndRecord>(value),
--- a/src/tests/random_faults.rs
+++ b/src/tests/random_faults.rs
@@ -12,13 +12,13 @@
 use crate::autoscale::{CloudAnswer, CloudCall};
 use crate::config::Config;
 use crate::fleet::{DirectMessage, DirectOutcome, Source};
-use crate::lead::{AfterTxn, Lead, TxnOutcome, split_task};
-use crate::node::standin::{Relay, stops};
+use crate::leader::{AfterTxn, Leader, TxnOutcome, split_task};
+use crate::node::delegate::{Relay, stops};
 use crate::testing::{FakeStore, FakeWorker, job};
-use crate::view::{End, EndRecord, JobView, RelayRecord, StandInRecord, key};
+use crate::view::{DelegationRecord, End, EndRecord, JobView, RelayRecord, key};
 use crate::wire::{
-    Change, Command, Kind, ListedMachine, MachineState, Rent, Report, ReportTask, Submission,
-    TaskState, Txn, Why,
+    Change, Command, ExitReason, Kind, ListedMachine, MachineState, Rent, Report, ReportTask,
+    Submission, TaskState, Txn,
 };
 
 const STEP_S: f64 = 0.25;
@@ -126,7 +126,7 @@
 struct Node {
     down_until: f64,
     paused_until: f64,
-    lead: Option<Lead>,
+    lead: Option<Leader>,
     trusted_until: f64,
     renew_at: f64,
     tend_at: f64,
@@ -418,7 +418,7 @@
     }
 
     /// The leader's state of a node, if it may act now.
-    fn acting(&mut self, at: usize) -> Option<&mut Lead> {
+    fn acting(&mut self, at: usize) -> Option<&mut Leader> {
         let now = self.now;
         let node = &mut self.nodes[at];
         let able = node.down_until <= now && node.paused_until <= now && now < node.trusted_until;
@@ -434,7 +434,7 @@
         let Some(lead) = self.acting(at) else { return };
         let token = lead.token;
         if forgets {
-            lead.zones.forget_stand_ins();
+            lead.zones.forget_delegations();
         }
         if tends {
             lead.tend(now);
@@ -740,14 +740,14 @@
         let forged = self.broken == Broken::Copies && late;
         let Some(lead) = self.acting(at) else {
             if let Some(token) = self.stands_in(at, &report) {
-                let commands = self.stand_in(&report, token);
+                let commands = self.delegate_zone(&report, token);
                 return self.answer(at, &report, Some((token, commands)), None);
             }
             return self.answer(at, &report, None, leader);
         };
         if forged {
             let known = lead.fleet.find(&report.machine);
-            if let Some(m) = known.and_then(|ix| lead.fleet.machines.get(&ix)) {
+            if let Some(m) = known.and_then(|index| lead.fleet.machines.get(&index)) {
                 (report.session, report.seq) = (m.session, m.seq + 1);
             }
             report.token = lead.token;
@@ -771,7 +771,7 @@
         let able = leader != at && self.now <= until && self.now >= self.outage_until;
         let stands = |key: &str, value: &RawValue| {
             key.contains("/standin/")
-                && serde_json::from_str(value.get()).is_ok_and(|r: StandInRecord| {
+                && serde_json::from_str(value.get()).is_ok_and(|r: DelegationRecord| {
                     r.token == token && r.zone == report.zone && !r.over
                 })
         };
@@ -781,7 +781,7 @@
     }
 
     /// What the answer carries; the leader is told what the report shows, perhaps more than once.
-    fn stand_in(&mut self, report: &Report, token: u64) -> Vec<Command> {
+    fn delegate_zone(&mut self, report: &Report, token: u64) -> Vec<Command> {
         let mut relay = Relay::new(token);
         relay.note(report);
         let record = relay.take(&report.zone, usize::MAX);
@@ -952,9 +952,9 @@
             let cpus = |name: &str| split_task(name).map_or(0.0, |(id, _)| self.jobs[id].cpus);
             let used: f64 = tasks.iter().filter(alive).map(|t| cpus(&t.task)).sum();
             let why = if tasks.iter().filter(alive).any(|t| t.task == *task) {
-                Some(Why::Busy)
+                Some(ExitReason::InUse)
             } else if used + cpus(task) > 8.0 {
-                Some(Why::NoRoom)
+                Some(ExitReason::Full)
             } else {
                 None
             };
@@ -1025,7 +1025,7 @@
             let t = &mut w.fake.report.tasks[at];
             t.state = state;
             if state == TaskState::Exited {
-                t.why = Some(Why::Done);
+                t.why = Some(ExitReason::Done);
                 self.done.insert(t.task.clone());
             }
             if let Some(times) = w.times.get_mut(&(t.task.clone(), t.attempt)) {
@@ -1086,15 +1086,15 @@
                     }
                     (TaskState::Waiting, _) if times.as_ref().unwrap().0 + 50.0 < now => {
                         t.state = TaskState::Exited;
-                        t.why = Some(Why::Alone);
+                        t.why = Some(ExitReason::Incomplete);
                     }
                     (TaskState::Running, _) if !whole || !able => {
                         t.state = TaskState::Exited;
-                        t.why = Some(Why::Peers);
+                        t.why = Some(ExitReason::Peers);
                     }
                     (TaskState::Running, Some(end)) if end <= now => {
                         t.state = TaskState::Exited;
-                        t.why = Some(Why::Done);
+                        t.why = Some(ExitReason::Done);
                         self.done.insert(t.task.clone());
                     }
                     _ => continue,
--- a/src/tests/scenarios.rs
+++ b/src/tests/scenarios.rs
@@ -10,7 +10,7 @@
 mod zones;
 
 use crate::autoscale::{CloudAnswer, CloudCall};
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::testing::{FakeStore, FakeWorker, job};
 use crate::wire::{Command, Kind, Submission};
 
@@ -28,13 +28,13 @@
 }
 
 /// Lets a worker report until the leader knows that it has seen its token.
-fn meet(worker: &mut FakeWorker, lead: &mut Lead, now: f64) {
+fn meet(worker: &mut FakeWorker, lead: &mut Leader, now: f64) {
     worker.checkin(lead, now);
     worker.checkin(lead, now);
 }
 
 /// A job placed and stored, not yet launched, on a machine whose worker knows the leader.
-fn placed(spec: &Submission) -> (FakeStore, Lead, FakeWorker) {
+fn placed(spec: &Submission) -> (FakeStore, Leader, FakeWorker) {
     let mut store = FakeStore::default();
     store.submit(spec);
     let mut lead = store.elect("n0", 0.0);
@@ -45,7 +45,7 @@
 }
 
 /// The names that a leader returns to the cloud next, if it returns any.
-fn returned(lead: &mut Lead, now: f64) -> Vec<String> {
+fn returned(lead: &mut Leader, now: f64) -> Vec<String> {
     while let Some(call) = lead.next_cloud_call(now) {
         match call {
             CloudCall::Delete(names) => return names,
--- a/src/tests/scenarios/direct.rs
+++ b/src/tests/scenarios/direct.rs
@@ -6,14 +6,14 @@
 use crate::autoscale::{CloudAnswer, CloudCall};
 use crate::config::Objective;
 use crate::fleet::{DirectMessage, DirectOutcome};
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::testing::{FakeStore, FakeWorker, job};
 use crate::view::{End, EndRecord, key};
-use crate::wire::Why;
+use crate::wire::ExitReason;
 
 /// A job whose tasks are to start sooner than a machine reports, stored and ready to be launched
 /// on one machine while another is empty too.
-fn hasty() -> (FakeStore, Lead, FakeWorker, DirectMessage) {
+fn hasty() -> (FakeStore, Leader, FakeWorker, DirectMessage) {
     let mut store = FakeStore::default();
     let mut spec = job("j-1", 1);
     spec.class = "hasty".into();
@@ -47,7 +47,7 @@
     w.execute(lead.token, &message.commands);
     lead.on_direct(message.machine, DirectOutcome::Done(w.next()), 1.4);
     assert_eq!(w.running(), ["j-1/0"]);
-    w.end("j-1/0", Why::Done);
+    w.end("j-1/0", ExitReason::Done);
     w.checkin(&mut lead, 2.0);
     store.settle(&mut lead, 3.0);
     w.checkin(&mut lead, 4.0);
@@ -73,7 +73,7 @@
     // It fails there and exits. Reaped, the late message would start it again, while it runs
     // elsewhere.
     w.checkin(&mut lead, now);
-    w.end("j-1/0", Why::Error);
+    w.end("j-1/0", ExitReason::Error);
     for _ in 0..3 {
         now += 0.5;
         w.checkin(&mut lead, now);
@@ -81,7 +81,12 @@
         w.execute(lead.token, &message.commands);
     }
     assert!(w.running().is_empty(), "{:?}", w.running());
-    assert!(w.report.tasks.iter().any(|t| t.why == Some(Why::Error)));
+    assert!(
+        w.report
+            .tasks
+            .iter()
+            .any(|t| t.why == Some(ExitReason::Error))
+    );
     // A new session knows nothing of it, and refuses the late message.
     w.report.session += 1;
     w.report.tasks.clear();
@@ -129,7 +134,7 @@
     assert_eq!(sent, 1);
 }
 
-/// A worker whose own reports went astray while it heard direct messages once got launches by these,
+/// A worker whose own reports went unreachable_since while it heard direct messages once got launches by these,
 /// and counted as expired a moment later: its tasks were started elsewhere beside it.
 #[test]
 fn a_machine_known_by_direct_messages_alone_gets_no_work_and_keeps_what_it_shows() {
@@ -138,15 +143,15 @@
     let mut lead = store.elect("n0", 0.0);
     let mut w = FakeWorker::new("i-1", "small", "north");
     // Long after the tenure began it answers a call, as a machine that was just rented does.
-    let call = |lead: &mut Lead, w: &mut FakeWorker, now: f64| {
+    let call = |lead: &mut Leader, w: &mut FakeWorker, now: f64| {
         lead.call_on("i-1", "north", "127.0.0.1:9", 1, now);
         w.execute(lead.token, &[]);
-        let ix = lead.fleet.find("i-1").unwrap();
-        lead.on_direct(ix, DirectOutcome::Done(w.next()), now);
+        let index = lead.fleet.find("i-1").unwrap();
+        lead.on_direct(index, DirectOutcome::Done(w.next()), now);
     };
     // It may be used for as long as its first report may still come, and not after that.
     call(&mut lead, &mut w, 90.0);
-    let m = |lead: &Lead| lead.fleet.machines[&lead.fleet.find("i-1").unwrap()].clone();
+    let m = |lead: &Leader| lead.fleet.machines[&lead.fleet.find("i-1").unwrap()].clone();
     assert!(lead.is_open(&m(&lead), 92.0));
     for now in [93.0, 96.0, 99.0] {
         call(&mut lead, &mut w, now);
--- a/src/tests/scenarios/machines.rs
+++ b/src/tests/scenarios/machines.rs
@@ -5,7 +5,7 @@
 use crate::fleet::Source;
 use crate::rt::Pause;
 use crate::testing::{FakeStore, FakeWorker, job};
-use crate::wire::Why;
+use crate::wire::ExitReason;
 
 #[test]
 fn a_machine_where_tasks_keep_failing_is_set_aside_but_not_for_one_bad_job() {
@@ -22,7 +22,7 @@
         store.settle(&mut lead, now);
         w.checkin(&mut lead, now);
         for task in w.running() {
-            w.end(&task, Why::Error);
+            w.end(&task, ExitReason::Error);
         }
         w.checkin(&mut lead, now);
     }
@@ -41,7 +41,7 @@
         for w in &mut ws {
             w.checkin(&mut lead, now);
             for task in w.running() {
-                w.end(&task, Why::Error);
+                w.end(&task, ExitReason::Error);
             }
         }
         store.settle(&mut lead, now);
@@ -235,7 +235,14 @@
         for (i, w) in ws.iter_mut().enumerate() {
             for task in w.running() {
                 let failed = all || i == 0;
-                w.end(&task, if failed { Why::Error } else { Why::Peers });
+                w.end(
+                    &task,
+                    if failed {
+                        ExitReason::Error
+                    } else {
+                        ExitReason::Peers
+                    },
+                );
             }
             w.checkin(&mut lead, 3.0);
         }
--- a/src/tests/scenarios/order.rs
+++ b/src/tests/scenarios/order.rs
@@ -6,9 +6,9 @@
 use super::{gang, meet, returned, starts};
 use crate::config::Objective;
 use crate::fleet::{Role, SlotKey};
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::testing::{FakeStore, FakeWorker, job};
-use crate::wire::{Priority, Submission, Why};
+use crate::wire::{ExitReason, Priority, Submission};
 
 /// After a takeover machines that ran gangs once counted as shared ones and were drained, while
 /// other gangs waited.
@@ -62,7 +62,7 @@
         w.checkin(&mut lead, now);
     }
     // What made way is not lost: it waits.
-    assert_eq!(lead.jobs[&lead.job_ix("j-1").unwrap()].pending(), 4);
+    assert_eq!(lead.jobs[&lead.job_index("j-1").unwrap()].pending(), 4);
 }
 
 #[test]
@@ -78,11 +78,11 @@
         view.jobs.get_mut(id).unwrap().seen = Some(seen);
         lead.enter_job(&id.into(), &view.jobs[id], 100.0);
     }
-    let names = |lead: &Lead, now| -> Vec<String> {
+    let names = |lead: &Leader, now| -> Vec<String> {
         let order = lead.order(now);
         order
             .iter()
-            .map(|ix| lead.jobs[ix].id.to_string())
+            .map(|index| lead.jobs[index].id.to_string())
             .collect()
     };
     assert_eq!(names(&lead, 100.0), ["j-2", "j-1"]);
@@ -125,7 +125,7 @@
     let mut ws: Vec<FakeWorker> = (0..4)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
         .collect();
-    let enter = |store: &mut FakeStore, lead: &mut Lead, spec: Submission, now: f64| {
+    let enter = |store: &mut FakeStore, lead: &mut Leader, spec: Submission, now: f64| {
         store.submit(&spec);
         let stored = store.view().jobs[spec.id.as_str()].clone();
         lead.enter_job(&spec.id.as_str().into(), &stored, now);
@@ -161,7 +161,7 @@
         for (i, w) in ws.iter_mut().enumerate() {
             if (now / 3.0) as usize % 6 == i {
                 for task in w.running().iter().filter(|t| !t.starts_with("j-5000")) {
-                    w.end(task, Why::Done);
+                    w.end(task, ExitReason::Done);
                 }
             }
             w.checkin(&mut lead, now + 0.5);
@@ -171,9 +171,9 @@
     }
 }
 
-fn order_of(lead: &Lead, now: f64) -> Vec<String> {
+fn order_of(lead: &Leader, now: f64) -> Vec<String> {
     let order = lead.order(now);
-    let id = |ix| lead.jobs[ix].id.to_string();
+    let id = |index| lead.jobs[index].id.to_string();
     order.iter().map(id).collect()
 }
 
@@ -224,9 +224,9 @@
 }
 
 /// The machines that tasks of a job are on.
-fn machines_of(lead: &Lead, id: &str) -> Vec<String> {
-    let ix = lead.job_ix(id).unwrap();
-    let on = |slots: &BTreeMap<SlotKey, _>| slots.keys().any(|k: &SlotKey| k.job == ix);
+fn machines_of(lead: &Leader, id: &str) -> Vec<String> {
+    let index = lead.job_index(id).unwrap();
+    let on = |slots: &BTreeMap<SlotKey, _>| slots.keys().any(|k: &SlotKey| k.job == index);
     let machines = lead.fleet.machines.values().filter(|m| on(&m.slots));
     machines.map(|m| m.name.to_string()).collect()
 }
@@ -247,14 +247,14 @@
     store.settle(&mut lead, 1.0);
     let first = machines_of(&lead, "j-1");
     assert_eq!(first.len(), 1);
-    let run = |lead: &mut Lead, ws: &mut [FakeWorker], now: f64| {
+    let run = |lead: &mut Leader, ws: &mut [FakeWorker], now: f64| {
         for w in ws.iter_mut() {
             w.checkin(lead, now);
             w.checkin(lead, now);
         }
     };
     // Another image goes elsewhere, not behind the one that is being fetched.
-    let enter = |store: &mut FakeStore, lead: &mut Lead, spec: Submission, now: f64| {
+    let enter = |store: &mut FakeStore, lead: &mut Leader, spec: Submission, now: f64| {
         store.submit(&spec);
         lead.enter_job(&spec.id.as_str().into(), &store.view().jobs[&*spec.id], now);
         store.settle(lead, now);
@@ -270,7 +270,7 @@
     // fetched once more, and does not wait for long.
     enter(&mut store, &mut lead, with_image("j-4", 3, "img-b"), 13.0);
     lead.tend(13.0);
-    let waits = |lead: &Lead| lead.jobs[&lead.job_ix("j-4").unwrap()].pending();
+    let waits = |lead: &Leader| lead.jobs[&lead.job_index("j-4").unwrap()].pending();
     assert!(waits(&lead) <= 2);
     run(&mut lead, &mut ws, 22.0);
     lead.tend(22.0);
--- a/src/tests/scenarios/renting.rs
+++ b/src/tests/scenarios/renting.rs
@@ -4,9 +4,9 @@
 
 use super::{gang, meet, returned};
 use crate::autoscale::{CloudAnswer, CloudCall};
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::testing::{FakeStore, FakeWorker, job};
-use crate::wire::{Command, Why};
+use crate::wire::{Command, ExitReason};
 
 /// A new leader once rented a second fleet before it had heard of the first.
 #[test]
@@ -14,7 +14,7 @@
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 40));
     let mut lead = store.elect("n1", 100.0);
-    let rents = |lead: &mut Lead, now: f64, listed: &str| {
+    let rents = |lead: &mut Leader, now: f64, listed: &str| {
         lead.tend(now);
         let mut found = 0;
         while let Some(call) = lead.next_cloud_call(now) {
@@ -106,7 +106,7 @@
         for w in &mut ws {
             w.checkin(&mut lead, now);
             for task in w.running() {
-                w.end(&task, Why::Done);
+                w.end(&task, ExitReason::Done);
             }
         }
         lead.tend(now);
@@ -163,7 +163,7 @@
                 if step == 2 {
                     // All but one have ended.
                     for task in &w.running()[1..] {
-                        w.end(task, Why::Done);
+                        w.end(task, ExitReason::Done);
                     }
                 }
                 for command in w.checkin(&mut lead, now) {
--- a/src/tests/scenarios/tasks.rs
+++ b/src/tests/scenarios/tasks.rs
@@ -1,12 +1,12 @@
 //! Where tasks are: launches, ends and changes of leader.
 
 use super::{gang, meet, placed, starts};
-use crate::book::Task;
 use crate::fleet::Source;
-use crate::lead::{AfterTxn, TxnOutcome};
+use crate::jobs::Task;
+use crate::leader::{AfterTxn, TxnOutcome};
 use crate::testing::{FakeStore, FakeWorker, job};
 use crate::view::{End, EndRecord, key};
-use crate::wire::{Command, Kind, Why};
+use crate::wire::{Command, ExitReason, Kind};
 
 #[test]
 fn nothing_is_launched_before_its_intent_is_stored() {
@@ -56,7 +56,7 @@
     meet(&mut w, &mut new, 13.0);
     store.settle(&mut new, 13.0);
     assert_eq!(starts(&other.checkin(&mut new, 14.0)), 0);
-    w.end("j-1/0", Why::Done);
+    w.end("j-1/0", ExitReason::Done);
     w.checkin(&mut new, 15.0);
     store.settle(&mut new, 15.0);
     assert_eq!(store.end("j-1"), Some(End::Done));
@@ -85,7 +85,7 @@
 fn an_old_exit_is_reaped_only_after_fencing_and_calls_to_fence_never_launch() {
     let (mut store, mut old, mut w) = placed(&job("j-1", 1));
     w.checkin(&mut old, 2.5);
-    w.end("j-1/0", Why::Error);
+    w.end("j-1/0", ExitReason::Error);
 
     // Reaped before the worker knows the new token, a late command of the old leader would start
     // the attempt once more.
@@ -112,7 +112,7 @@
     for user_first in [true, false] {
         let (mut store, mut lead, mut w) = placed(&job("j-1", 1));
         w.checkin(&mut lead, 2.5);
-        w.end("j-1/0", Why::Done);
+        w.end("j-1/0", ExitReason::Done);
         w.checkin(&mut lead, 3.0);
         let txn = lead.next_txn(3.0).unwrap();
         let end = EndRecord {
@@ -241,7 +241,7 @@
     meet(&mut w, &mut lead, 1.0);
     store.settle(&mut lead, 1.0);
     w.checkin(&mut lead, 2.0);
-    w.end("j-1/0", Why::Done);
+    w.end("j-1/0", ExitReason::Done);
     w.checkin(&mut lead, 3.0);
     store.settle(&mut lead, 4.0);
     assert_eq!(store.end("j-1"), None);
--- a/src/tests/scenarios/writes.rs
+++ b/src/tests/scenarios/writes.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 
 use super::{gang, meet, starts};
-use crate::lead::{AfterTxn, Lead, TxnOutcome};
+use crate::leader::{AfterTxn, Leader, TxnOutcome};
 use crate::testing::{FakeStore, FakeWorker, job};
 use crate::view::{End, JobView};
-use crate::wire::{Change, Submission, Why};
+use crate::wire::{Change, ExitReason, Submission};
 
 #[test]
 fn a_lost_answer_to_a_write_is_settled_by_reading_back() {
@@ -82,7 +82,7 @@
     assert!(sizes.iter().all(|s| *s <= 8 * 1024), "{sizes:?}");
     for task in (0..2000).filter(|t| t % 3 == 0) {
         for w in &mut ws {
-            w.end(&format!("j-1/{task}"), Why::Done);
+            w.end(&format!("j-1/{task}"), ExitReason::Done);
         }
     }
     for _ in 0..5 {
@@ -98,7 +98,7 @@
     now += 11.0;
     for task in 0..2000 {
         for w in &mut ws {
-            w.end(&format!("j-1/{task}"), Why::Done);
+            w.end(&format!("j-1/{task}"), ExitReason::Done);
         }
     }
     for _ in 0..12 {
@@ -164,7 +164,7 @@
     let mut long = job("j-9999", 4);
     long.class = "long".into();
     store.submit(&long);
-    let enter = |lead: &mut Lead, spec: Submission, now: f64| {
+    let enter = |lead: &mut Leader, spec: Submission, now: f64| {
         let id = spec.id.as_str().into();
         let mut stored = JobView::default();
         stored.spec = Some(Rc::new(spec));
@@ -189,7 +189,7 @@
         for w in &mut ws {
             w.checkin(&mut lead, now + 0.3);
             for task in w.running().iter().filter(|t| !t.starts_with("j-9999")) {
-                w.end(task, Why::Done);
+                w.end(task, ExitReason::Done);
             }
             w.checkin(&mut lead, now + 0.6);
         }
@@ -199,7 +199,7 @@
     assert!(values < 150, "{values} values left");
     assert_eq!(store.view().jobs["j-9999"].status("j-9999").running, 4);
     let new = store.elect("n1", 500.0);
-    assert_eq!(new.jobs[&new.job_ix("j-9999").unwrap()].bound, 4);
+    assert_eq!(new.jobs[&new.job_index("j-9999").unwrap()].bound, 4);
     let done = store
         .view()
         .jobs
@@ -230,7 +230,7 @@
         assert!(now < 300.0);
         for w in &mut ws {
             for task in w.running() {
-                w.end(&task, Why::Done);
+                w.end(&task, ExitReason::Done);
             }
             w.checkin(&mut lead, now);
         }
@@ -263,11 +263,11 @@
         let now = f64::from(step) * 0.05;
         for part in 0..2 {
             let id = &ids[(2 * step + part) as usize % ids.len()];
-            let key = (lead.job_ix(id).unwrap(), step / 25, 1).into();
+            let key = (lead.job_index(id).unwrap(), step / 25, 1).into();
             lead.on_task_done(key, None, now);
         }
         if step == 400 {
-            let key = (lead.job_ix("j-100").unwrap(), 0, 1).into();
+            let key = (lead.job_index("j-100").unwrap(), 0, 1).into();
             lead.on_task_done(key, None, now);
         }
         if let Some(txn) = lead.next_txn(now) {
--- a/src/tests/scenarios/zones.rs
+++ b/src/tests/scenarios/zones.rs
@@ -5,9 +5,9 @@
 use super::returned;
 use crate::autoscale::{CloudAnswer, CloudCall};
 use crate::fleet::Source;
-use crate::lead::{Lead, TxnOutcome};
+use crate::leader::{Leader, TxnOutcome};
 use crate::testing::{FakeStore, FakeWorker, job};
-use crate::view::{JobLog, RelayRecord, StandInRecord, key};
+use crate::view::{DelegationRecord, JobLog, RelayRecord, key};
 use crate::wire::{Change, Condition, Txn};
 
 /// While a zone was cut off, all that was lost there was once rented there anew, where there were
@@ -63,7 +63,7 @@
 }
 
 /// Two zones of 14 machines with a task on each; the south is not heard any more from 10 s on.
-fn cut() -> (FakeStore, Lead, Vec<FakeWorker>, Vec<FakeWorker>) {
+fn cut() -> (FakeStore, Leader, Vec<FakeWorker>, Vec<FakeWorker>) {
     let mut store = FakeStore::default();
     let mut spec = job("j-1", 28);
     spec.cpus = 6.0;
@@ -86,7 +86,7 @@
 }
 
 /// Lets these workers alone be heard for some time.
-fn hear(store: &mut FakeStore, lead: &mut Lead, ws: &mut [FakeWorker], from: f64, to: f64) {
+fn hear(store: &mut FakeStore, lead: &mut Leader, ws: &mut [FakeWorker], from: f64, to: f64) {
     let mut now = from;
     while now < to {
         for w in ws.iter_mut() {
@@ -100,13 +100,13 @@
     }
 }
 
-fn bound(lead: &Lead) -> u32 {
+fn bound(lead: &Leader) -> u32 {
     lead.jobs.values().map(|j| j.bound).sum()
 }
 
-fn word(store: &FakeStore) -> Option<StandInRecord> {
+fn word(store: &FakeStore) -> Option<DelegationRecord> {
     let view = store.view();
-    view.stand_ins.values().next().map(|(r, _)| r.clone())
+    view.delegations.values().next().map(|(r, _)| r.clone())
 }
 
 /// While others may answer the workers of a zone, silence tells nothing of their tasks: these were
@@ -139,8 +139,8 @@
 #[test]
 fn a_late_copy_of_a_word_neither_gives_nor_takes_it() {
     let (mut store, mut lead, mut north, mut south) = cut();
-    let (key, (record, _)) = store.view().stand_ins.into_iter().next().unwrap();
-    let put = |record: &StandInRecord| Change::Put {
+    let (key, (record, _)) = store.view().delegations.into_iter().next().unwrap();
+    let put = |record: &DelegationRecord| Change::Put {
         key: key.clone(),
         value: to_raw_value(record).unwrap(),
         lease: None,
@@ -162,7 +162,7 @@
     // The next leader heeds it no more and clears it away.
     let mut next = store.elect("n1", 20.0);
     hear(&mut store, &mut next, &mut north, 20.0, 24.0);
-    let words = store.view().stand_ins;
+    let words = store.view().delegations;
     assert!(
         words.values().all(|(r, _)| r.token == next.token),
         "{words:?}"
--- a/src/tests/state_limits.rs
+++ b/src/tests/state_limits.rs
@@ -7,13 +7,13 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::config::{Config, StateLimits};
-use crate::lead::{AfterTxn, Lead, TxnOutcome};
-use crate::node::standin::Relay;
+use crate::leader::{AfterTxn, Leader, TxnOutcome};
+use crate::node::delegate::Relay;
 use crate::node::users::creation;
 use crate::rt::Time;
 use crate::testing::{FakeStore, FakeWorker, job};
 use crate::view::{View, key};
-use crate::wire::{Change, Command, Submission, Txn, Why};
+use crate::wire::{Change, Command, ExitReason, Submission, Txn};
 
 const UNIX_MS: u64 = 1_796_000_000_000;
 /// Bytes of a transaction, and conditions for each change, as the protocol says.
@@ -122,7 +122,7 @@
 }
 
 /// Lets a leader write all that is due, within the limits.
-fn write(store: &mut FakeStore, lead: &mut Lead, meter: &mut Meter, now: Time) {
+fn write(store: &mut FakeStore, lead: &mut Leader, meter: &mut Meter, now: Time) {
     let limits = lead.config.deployment.state.clone();
     while let Some(txn) = lead.next_txn(now) {
         assert_fits(&txn, &limits);
@@ -185,7 +185,7 @@
                     w.checkin(&mut lead, now);
                     for task in w.running() {
                         if rng.random_bool(0.2) {
-                            w.end(&task, Why::Done);
+                            w.end(&task, ExitReason::Done);
                         }
                     }
                 }
@@ -258,7 +258,7 @@
                     attempt: u64::MAX / 2,
                 };
                 w.execute(7, &[start]);
-                w.end(&task, Why::Done);
+                w.end(&task, ExitReason::Done);
             }
         }
         relay.note(&w.report);
