--- a/src/tests/stored_formats.rs
+++ b/src/tests/stored_formats.rs
@@ -8,22 +8,22 @@
 use serde_json::value::{RawValue, to_raw_value};
 
 use super::production::{self, Read};
-use crate::cluster::{Greeting, WorkerSeen};
-use crate::expect::Mean;
-use crate::lead::AfterTxn;
+use crate::arrivals::Mean;
+use crate::cluster::{Heartbeat, WorkerSeen};
+use crate::leader::AfterTxn;
 use crate::node::users::creation;
 use crate::testing::{FakeStore, FakeWorker, job, types};
 use crate::view::{
-    End, EndRecord, JobLog, JobRecord, LeaderRecord, LogRecord, PleaRecord, RelayRecord,
-    StandInRecord, View, key,
+    DelegationRecord, End, EndRecord, JobLog, JobRecord, LeaderRecord, LogRecord, RelayRecord,
+    StepDownRequest, View, key,
 };
-use crate::wire::{Change, JobState, Kind, MachineType, Priority, Submission, Why};
+use crate::wire::{Change, ExitReason, JobState, Kind, MachineType, Priority, Submission};
 
 /// Of each record and frame a sample with every optional field set, then one with none.
 const LEADER: &str = r#"{"host":"n1","incarnation":9876543210123456789}"#;
 const TYPES: &str = r#"[{"Name":"small","Cores":8.0,"Gpus":0.0,"MemoryGb":32.0,"CacheGb":50.0,"PullGbPerS":1.0,"Rate":0.8,"SpotPrice":0.2,"ReadyS":30.0,"Yards":["north","south"]},{"Name":"big","Cores":64.0,"Gpus":0.0,"MemoryGb":256.0,"CacheGb":50.0,"PullGbPerS":1.0,"Rate":8.0,"SpotPrice":2.0,"ReadyS":30.0,"Yards":["north"]}]"#;
 const PLEA: &str = r#"{"token":41}"#;
-const STAND_IN: [&str; 2] = [
+const DELEGATION: [&str; 2] = [
     r#"{"token":41,"zone":"south","over":false}"#,
     r#"{"token":41,"zone":"south","over":true}"#,
 ];
@@ -44,7 +44,7 @@
     r#"{"j":[{"i":"j-1"}]}"#,
 ];
 /// CBOR, in hexadecimal.
-const GREETING: [&str; 2] = [
+const HEARTBEAT: [&str; 2] = [
     "a464686f7374626e316773746174655f73f9380067776f726b65727381a4676d616368696e6563692d31647a6f6e65656e6f72746864616464726d31302e302e302e313a393030306773657373696f6e036472756e7381827473756d737c4e6f6e657c4e6f6e657c66616c7365a26576616c7565f94a40647365656ef93c00",
     "a464686f7374626e326773746174655f73f667776f726b657273806472756e7380",
 ];
@@ -84,13 +84,13 @@
     let leader: LeaderRecord = read(LEADER);
     assert_eq!(leader.incarnation, 9_876_543_210_123_456_789);
     assert_eq!(read::<Vec<MachineType>>(TYPES), types());
-    assert_eq!(read::<PleaRecord>(PLEA).token, 41);
-    for (sample, over) in STAND_IN.iter().zip([false, true]) {
+    assert_eq!(read::<StepDownRequest>(PLEA).token, 41);
+    for (sample, over) in DELEGATION.iter().zip([false, true]) {
         let zone = "south".into();
         let token = 41;
         assert_eq!(
-            read::<StandInRecord>(sample),
-            StandInRecord { token, zone, over }
+            read::<DelegationRecord>(sample),
+            DelegationRecord { token, zone, over }
         );
     }
     let relay: RelayRecord = read(RELAY[0]);
@@ -124,11 +124,11 @@
         (key::end("j-2"), END[1], 6),
         (key::job("j-1"), job.as_str(), 3),
         (key::leader(), LEADER, 9),
-        (key::plea("n2"), PLEA, 8),
+        (key::step_down_request("n2"), PLEA, 8),
         (key::relay("n2"), RELAY[0], 8),
         (key::run(2_686_976), LOG[0], 7),
         (key::run(2_686_975), LOG[1], 5),
-        (key::stand_in(41, 1), STAND_IN[0], 8),
+        (key::delegation(41, 1), DELEGATION[0], 8),
         (key::types(), TYPES, 1),
     ] {
         view.apply(&key, Some(&raw(text)), version);
@@ -145,7 +145,7 @@
     assert_eq!(view.jobs["j-2"].status("j-2").state, JobState::Cancelled);
     assert_eq!(view.types.as_deref(), Some(&types()));
     assert_eq!(view.leader.as_ref().map(|(_, token)| *token), Some(9));
-    assert_eq!((view.stand_ins.len(), view.oldest), (1, 2_686_976));
+    assert_eq!((view.delegations.len(), view.oldest), (1, 2_686_976));
 }
 
 #[test]
@@ -155,15 +155,18 @@
     let leader = LeaderRecord { host, incarnation };
     assert_eq!(production_keeps(&key::leader(), &leader), LEADER);
     assert_eq!(production_keeps(&key::types(), &types()), TYPES);
-    let plea = PleaRecord { token: 41 };
-    assert_eq!(production_keeps(&key::plea("n1"), &plea), PLEA);
-    for (sample, over) in STAND_IN.iter().zip([false, true]) {
-        let record = StandInRecord {
+    let step_down_request = StepDownRequest { token: 41 };
+    assert_eq!(
+        production_keeps(&key::step_down_request("n1"), &step_down_request),
+        PLEA
+    );
+    for (sample, over) in DELEGATION.iter().zip([false, true]) {
+        let record = DelegationRecord {
             token: 41,
             zone: "south".into(),
             over,
         };
-        assert_eq!(production_keeps(&key::stand_in(41, 1), &record), *sample);
+        assert_eq!(production_keeps(&key::delegation(41, 1), &record), *sample);
     }
     for sample in RELAY {
         let record: RelayRecord = serde_json::from_str(sample).unwrap();
@@ -202,7 +205,7 @@
     };
     let mut mean = Mean::default();
     mean.add(12.5, 40.0);
-    let full = Greeting {
+    let full = Heartbeat {
         host: "n1".into(),
         state_s: Some(0.5),
         workers: vec![WorkerSeen {
@@ -213,19 +216,19 @@
         }],
         runs: vec![("sums|None|None|false".into(), mean)],
     };
-    let empty = Greeting {
+    let empty = Heartbeat {
         host: "n2".into(),
         state_s: None,
         workers: Vec::new(),
         runs: Vec::new(),
     };
-    for (sample, frame) in GREETING.iter().zip([full, empty]) {
+    for (sample, frame) in HEARTBEAT.iter().zip([full, empty]) {
         let sample = bytes(sample);
-        let read: Greeting = ciborium::from_reader(sample.as_slice()).unwrap();
+        let read: Heartbeat = ciborium::from_reader(sample.as_slice()).unwrap();
         assert_eq!(read, frame);
         let mut written = Vec::new();
         ciborium::into_writer(&frame, &mut written).unwrap();
-        let old: production::Greeting = ciborium::from_reader(written.as_slice()).unwrap();
+        let old: production::Heartbeat = ciborium::from_reader(written.as_slice()).unwrap();
         let mut again = Vec::new();
         ciborium::into_writer(&old, &mut again).unwrap();
         assert_eq!(again, sample);
@@ -277,10 +280,10 @@
             w.checkin(&mut lead, now);
             store.settle(&mut lead, now);
         }
-        w.end(finished, Why::Done);
+        w.end(finished, ExitReason::Done);
     }
     for task in 0..6 {
-        w.end(&format!("j-1/{task}"), Why::Done);
+        w.end(&format!("j-1/{task}"), ExitReason::Done);
     }
     w.checkin(&mut lead, now + 1.0);
     while let Some(txn) = lead.next_txn(now + 2.0) {
--- a/src/view.rs
+++ b/src/view.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-use crate::graph::{Graph, Moved, Standing};
+use crate::graph::{Graph, JobOutcome, ReadinessChanges};
 use crate::rt::Time;
 use crate::wire::{JobState, JobStatus, MachineType, Submission};
 
@@ -28,11 +28,11 @@
         format!("{ROOT}none")
     }
     /// A node's word that workers can't reach the leader.
-    pub fn plea(node: &str) -> String {
+    pub fn step_down_request(node: &str) -> String {
         format!("{ROOT}plea/{node}")
     }
     /// The leader's word that others may answer a zone's workers in its name.
-    pub fn stand_in(token: u64, number: u64) -> String {
+    pub fn delegation(token: u64, number: u64) -> String {
         format!("{ROOT}standin/{token}-{number}")
     }
     /// What a node that stands in for the leader saw of tasks.
@@ -66,14 +66,14 @@
 
 /// A node's word that workers can't reach the leader who has this token.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PleaRecord {
+pub struct StepDownRequest {
     pub token: u64,
 }
 
 /// The word of the leader who has this token that others may answer a zone's workers in its name,
 /// or that they may no longer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct StandInRecord {
+pub struct DelegationRecord {
     pub token: u64,
     pub zone: String,
     pub over: bool,
@@ -305,7 +305,7 @@
     End(Rc<str>),
     Leader,
     Types,
-    Plea(PleaRecord),
+    StepDownRequest(StepDownRequest),
     Relay(RelayRecord),
 }
 
@@ -318,7 +318,7 @@
     pub leader: Option<(LeaderRecord, u64)>,
     pub types: Option<Rc<Vec<MachineType>>>,
     /// Words on who may stand in for a leader, by their keys, with their revisions.
-    pub stand_ins: BTreeMap<String, (StandInRecord, u64)>,
+    pub delegations: BTreeMap<String, (DelegationRecord, u64)>,
     /// Numbers of the log's values.
     pub log: BTreeSet<u64>,
     /// The oldest value of the log that counts, as far as known.
@@ -350,12 +350,12 @@
                 self.types = value.and_then(parse).map(Rc::new);
                 Some(Change::Types)
             }
-            "plea" => value.and_then(parse).map(Change::Plea),
+            "plea" => value.and_then(parse).map(Change::StepDownRequest),
             "relay" => value.and_then(parse).map(Change::Relay),
             "standin" => {
                 match value.and_then(parse) {
-                    Some(record) => self.stand_ins.insert(key.to_owned(), (record, version)),
-                    None => self.stand_ins.remove(key),
+                    Some(record) => self.delegations.insert(key.to_owned(), (record, version)),
+                    None => self.delegations.remove(key),
                 };
                 None
             }
@@ -455,16 +455,16 @@
         let jobs = &self.jobs;
         self.graph.add(id, &spec.waits_on, |need| {
             match jobs.get(need).and_then(|j| j.end) {
-                None => Standing::Open,
-                Some(end) if end.end == End::Done => Standing::Done,
-                Some(_) => Standing::Cancelled,
+                None => JobOutcome::Open,
+                Some(end) if end.end == End::Done => JobOutcome::Done,
+                Some(_) => JobOutcome::Cancelled,
             }
         });
     }
 
     /// What changed for jobs that wait since this was last asked.
-    pub fn take_moved(&mut self, now: Time) -> Moved {
-        let moved = self.graph.take_moved();
+    pub fn take_changes(&mut self, now: Time) -> ReadinessChanges {
+        let moved = self.graph.take_changes();
         for id in &moved.ready {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.waits = false;
@@ -500,7 +500,7 @@
         for (_, id) in &waiting {
             self.enter_graph(id);
         }
-        for id in self.take_moved(now).ready {
+        for id in self.take_changes(now).ready {
             let Some(spec) = self.jobs.get(&id).and_then(|j| j.spec.clone()) else {
                 continue;
             };
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -161,9 +161,9 @@
     Exited,
 }
 
-/// Why a task ended.
+/// ExitReason a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum ExitReason {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "halted")]
@@ -171,15 +171,15 @@
     #[serde(rename = "peers")]
     Peers,
     #[serde(rename = "incomplete")]
-    Alone,
+    Incomplete,
     #[serde(rename = "error")]
     Error,
     #[serde(rename = "full")]
-    NoRoom,
+    Full,
     #[serde(rename = "in_use")]
-    Busy,
+    InUse,
     #[serde(rename = "no_such")]
-    Unknown,
+    NoSuchTask,
     /// A cause this version does not know; treated as a failure.
     #[serde(other)]
     Other,
@@ -195,7 +195,7 @@
     #[serde(rename = "Status")]
     pub state: TaskState,
     #[serde(rename = "Cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
     #[serde(rename = "Saved", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -1,7 +1,7 @@
 //! Zones that the leader can't reach although it reaches others, and who answers the workers there
 //! in its name.
 //!
-//! A *stand-in* is a word of the leader in the store, bound to its token: any controller that a
+//! A *delegate* is a word of the leader in the store, bound to its token: any controller that a
 //! worker of the zone turns to may answer its report, if the store shows, by a read begun after the
 //! report came, that the leader is still in office and the word still stands. Such an answer carries
 //! no commands; it keeps the worker's lease. A later leader's tenure began after that read, and so
@@ -13,24 +13,24 @@
 use std::rc::Rc;
 
 use crate::fleet::Machine;
-use crate::lead::{Lead, put};
+use crate::leader::{Leader, put};
 use crate::rt::Time;
-use crate::view::{RelayRecord, StandInRecord, key};
-use crate::wire::{Change, Condition, Why};
+use crate::view::{DelegationRecord, RelayRecord, key};
+use crate::wire::{Change, Condition, ExitReason};
 
 /// A zone of at least so many machines of which none was heard for so many report intervals counts
 /// as cut off, for so many boot times after the last of them was there.
 const SILENT_ZONE_MIN: usize = 12;
 const SILENT_ZONE_REPORTS: f64 = 0.8;
-const SHUN_BOOTS: f64 = 2.0;
+const CUT_OFF_BOOTS: f64 = 2.0;
 /// Machines of a zone that is cut off are kept for so many boot times.
 const CUT_BOOTS: f64 = 2.5;
-/// So many machines of a zone with a stand-in are called on at once, to see whether the cut is over.
+/// So many machines of a zone with a delegate are called on at once, to see whether the cut is over.
 const PROBES: usize = 3;
 
 /// Who answers the workers of a zone.
 #[derive(Debug)]
-struct StandIn {
+struct Delegation {
     key: String,
     /// It should stand, or be taken back.
     wanted: bool,
@@ -47,12 +47,12 @@
     /// When a machine of each zone was last heard.
     pub(crate) heard: HashMap<Rc<str>, Time>,
     /// Zones that seem to be cut off: nothing is rented there until then.
-    shunned: HashMap<Rc<str>, Time>,
+    cut_off: HashMap<Rc<str>, Time>,
     /// When zones that were cut off were heard again.
     back: HashMap<Rc<str>, Time>,
-    /// When a stand-in last told of a zone's tasks.
+    /// When a delegate last told of a zone's tasks.
     relayed: HashMap<Rc<str>, Time>,
-    stand_ins: BTreeMap<Rc<str>, StandIn>,
+    delegations: BTreeMap<Rc<str>, Delegation>,
     /// What former leaders left in the store.
     stale: Vec<String>,
     next: u64,
@@ -67,45 +67,45 @@
     }
 
     /// Whether a zone seems to be cut off.
-    pub(crate) fn is_shunned(&self, zone: &str) -> bool {
-        self.shunned.contains_key(zone)
+    pub(crate) fn is_zone_cut_off(&self, zone: &str) -> bool {
+        self.cut_off.contains_key(zone)
     }
 
     /// Up to when somebody may have answered a worker of a zone in this leader's name, as far as the
     /// worker's lease goes.
     pub(crate) fn answered_until(&self, zone: &str, now: Time) -> Time {
-        self.stand_ins
+        self.delegations
             .get(zone)
             .map_or(f64::NEG_INFINITY, |s| s.over.unwrap_or(now))
     }
 
     /// Lets somebody stand in for the leader in a zone.
-    fn stand_in(&mut self, zone: &Rc<str>, token: u64) {
-        let free = |s: &StandIn| s.over.is_some();
-        if self.stand_ins.get(zone).is_none_or(free) {
+    fn delegate_zone(&mut self, zone: &Rc<str>, token: u64) {
+        let free = |s: &Delegation| s.over.is_some();
+        if self.delegations.get(zone).is_none_or(free) {
             self.next += 1;
-            let fresh = StandIn {
-                key: key::stand_in(token, self.next),
+            let fresh = Delegation {
+                key: key::delegation(token, self.next),
                 wanted: true,
                 stored: None,
                 in_flight: false,
                 over: None,
             };
-            self.stand_ins.insert(zone.clone(), fresh);
+            self.delegations.insert(zone.clone(), fresh);
         }
     }
 
-    /// What is to be stored of stand-ins: the zone, the condition and the change.
+    /// What is to be stored of delegates: the zone, the condition and the change.
     fn changes(&mut self, token: u64, most: usize) -> Vec<(Rc<str>, Condition, Change)> {
         let mut changes = Vec::new();
-        for (zone, s) in &mut self.stand_ins {
+        for (zone, s) in &mut self.delegations {
             let due = s.over.is_none() && !s.in_flight && s.wanted == s.stored.is_none();
             if !due || changes.len() >= most {
                 continue;
             }
             // A key is written twice at the most and never deleted in this tenure: a repeat of
             // either write finds it changed.
-            let record = StandInRecord {
+            let record = DelegationRecord {
                 token,
                 zone: zone.to_string(),
                 over: !s.wanted,
@@ -122,15 +122,15 @@
         changes
     }
 
-    /// Whether something of stand-ins is to be stored.
+    /// Whether something of delegates is to be stored.
     pub(crate) fn wants_write(&self) -> bool {
-        let due = |s: &StandIn| s.over.is_none() && s.wanted == s.stored.is_none();
-        self.stand_ins.values().any(due)
+        let due = |s: &Delegation| s.over.is_none() && s.wanted == s.stored.is_none();
+        self.delegations.values().any(due)
     }
 
     /// What was to be stored of a zone was, at this revision, or was not.
     pub(crate) fn stored(&mut self, zone: &str, revision: Option<u64>, now: Time) {
-        let Some(s) = self.stand_ins.get_mut(zone) else {
+        let Some(s) = self.delegations.get_mut(zone) else {
             return;
         };
         s.in_flight = false;
@@ -160,8 +160,8 @@
 
     /// Breaks the guard that nothing is freed for silence where somebody may stand in.
     #[cfg(test)]
-    pub(crate) fn forget_stand_ins(&mut self) {
-        for s in self.stand_ins.values_mut() {
+    pub(crate) fn forget_delegations(&mut self) {
+        for s in self.delegations.values_mut() {
             s.over = Some(f64::NEG_INFINITY);
         }
     }
@@ -178,7 +178,7 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// A zone of which no machine is heard any more while others are is cut off: what is rented there
     /// comes up and isn't heard either. Where there are many machines this shows long before any
     /// of them counts as lost.
@@ -200,17 +200,17 @@
         for (zone, machines) in zones {
             let silent = self.zone_silence(&zone, now) > silent_s;
             if others_heard && silent && machines >= SILENT_ZONE_MIN {
-                let until = now + longest * SHUN_BOOTS;
-                if self.zones.shunned.insert(zone.clone(), until).is_none() {
+                let until = now + longest * CUT_OFF_BOOTS;
+                if self.zones.cut_off.insert(zone.clone(), until).is_none() {
                     tracing::info!("zone {zone} seems to be cut off");
                 }
-                self.zones.stand_in(&zone, self.token);
+                self.zones.delegate_zone(&zone, self.token);
             }
         }
-        let shunned: Vec<(Rc<str>, Time)> = self.zones.shunned.drain().collect();
-        for (zone, until) in shunned {
+        let cut_off: Vec<(Rc<str>, Time)> = self.zones.cut_off.drain().collect();
+        for (zone, until) in cut_off {
             if until > now && self.zone_silence(&zone, now) > silent_s * 0.5 {
-                self.zones.shunned.insert(zone, until);
+                self.zones.cut_off.insert(zone, until);
             } else {
                 tracing::info!("zone {zone} is heard again, or given up");
                 self.zones.back.insert(zone, now);
@@ -218,10 +218,12 @@
         }
         let kept_s = self.off_after_s;
         let Zones {
-            stand_ins, shunned, ..
+            delegations,
+            cut_off,
+            ..
         } = &mut self.zones;
-        stand_ins.retain(|zone, s| {
-            s.wanted &= shunned.contains_key(zone);
+        delegations.retain(|zone, s| {
+            s.wanted &= cut_off.contains_key(zone);
             // One that was never asked of the store ends without a word.
             if !s.wanted && s.stored.is_none() && !s.in_flight {
                 return false;
@@ -239,7 +241,7 @@
 
     /// Whether a machine is in a zone that seems to be cut off.
     pub(crate) fn is_cut_off(&self, m: &Machine) -> bool {
-        self.zones.is_shunned(&m.zone)
+        self.zones.is_zone_cut_off(&m.zone)
     }
 
     /// Whether a machine that is up has been silent for too long. Those of a zone that is cut off are
@@ -253,7 +255,10 @@
         if self.is_cut_off(m) {
             let relayed = self.zones.relayed.get(&m.zone).copied();
             since = since.max(relayed.unwrap_or(last));
-            limit_s = limit_s.max(m.type_ix.map_or(0.0, |t| self.types[t].boot_s * CUT_BOOTS));
+            limit_s = limit_s.max(
+                m.type_index
+                    .map_or(0.0, |t| self.types[t].boot_s * CUT_BOOTS),
+            );
         } else if let Some(back) = self.zones.back.get(&m.zone).filter(|at| **at > last) {
             since = *back;
             limit_s = limit_s.max(w.lease_s);
@@ -261,30 +266,30 @@
         self.silent_s(since, now) > limit_s
     }
 
-    /// Calls on some machines of zones with a stand-in: their workers report to that, and nothing
+    /// Calls on some machines of zones with a delegate: their workers report to that, and nothing
     /// else would show that the cut is over.
     fn probe_zones(&mut self) {
-        let stands = |s: &StandIn| s.wanted && s.stored.is_some();
-        for (zone, _) in self.zones.stand_ins.iter().filter(|(_, s)| stands(s)) {
+        let stands = |s: &Delegation| s.wanted && s.stored.is_some();
+        for (zone, _) in self.zones.delegations.iter().filter(|(_, s)| stands(s)) {
             let here = |m: &Machine| m.zone == *zone && m.addr.is_some() && !m.leaving;
             let mut order: Vec<_> = self
                 .fleet
                 .machines
                 .iter()
                 .filter(|(_, m)| here(m) && !m.direct_live)
-                .map(|(ix, m)| (m.direct_tried, *ix))
+                .map(|(index, m)| (m.direct_tried, *index))
                 .collect();
             order.sort_by(|a, b| a.0.total_cmp(&b.0));
-            for (_, ix) in order.into_iter().take(PROBES) {
-                if let Some(m) = self.fleet.machines.get_mut(&ix) {
+            for (_, index) in order.into_iter().take(PROBES) {
+                if let Some(m) = self.fleet.machines.get_mut(&index) {
                     m.direct_wanted = true;
-                    self.fleet.calls.insert(ix);
+                    self.fleet.calls.insert(index);
                 }
             }
         }
     }
 
-    /// A stand-in tells of tasks that completed, and of sessions that began. Both stay true whatever
+    /// A delegate tells of tasks that completed, and of sessions that began. Both stay true whatever
     /// else happens, late copies included; nothing is reaped for them.
     pub fn on_relay(&mut self, record: &RelayRecord, now: Time) {
         if record.token != self.token {
@@ -295,18 +300,19 @@
             self.on_session(machine, *session, now);
         }
         for log in &record.jobs {
-            let Some(ix) = self.job_ix(&log.id) else {
+            let Some(index) = self.job_index(&log.id) else {
                 continue;
             };
             for (first, n) in &log.done {
-                let tasks = self.jobs[&ix].spec.tasks;
+                let tasks = self.jobs[&index].spec.tasks;
                 for task in *first..first.saturating_add(*n).min(tasks) {
                     let at = self
                         .jobs
-                        .get(&ix)
+                        .get(&index)
                         .and_then(|j| j.bound_at(task, log.attempt));
-                    if let Some((machine, key)) = at.map(|m| (m, (ix, task, log.attempt).into())) {
-                        self.on_exit(machine, key, Why::Done, true, now);
+                    if let Some((machine, key)) = at.map(|m| (m, (index, task, log.attempt).into()))
+                    {
+                        self.on_exit(machine, key, ExitReason::Done, true, now);
                     }
                 }
             }
