--- a/src/autoscale/scale_down.rs
+++ b/src/autoscale/scale_down.rs
@@ -72,11 +72,11 @@
         }
     }
 
-    pub(super) fn give_back(&mut self, index: MachineIndex, why: &str) {
+    pub(super) fn give_back(&mut self, index: MachineIndex, reason: &str) {
         if let Some(m) = self.fleet.machines.get_mut(&index)
             && !m.leaving
         {
-            tracing::info!("returning {}: {why}", m.name);
+            tracing::info!("returning {}: {reason}", m.name);
             m.leaving = true;
             self.cloud.deletes.push(index);
         }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -95,8 +95,8 @@
 
     /// Whether a late or repeated direct launch could bring the attempt back once it is reaped.
     /// One that completed does no harm: it completes again.
-    fn may_return(&self, why: ExitReason) -> bool {
-        self.in_doubt() || (self.direct.is_some() && why != ExitReason::Done)
+    fn may_return(&self, exit_reason: ExitReason) -> bool {
+        self.in_doubt() || (self.direct.is_some() && exit_reason != ExitReason::Done)
     }
 }
 
@@ -479,9 +479,13 @@
             }
             if t.state == TaskState::Exited {
                 let forget = match known {
-                    Some(key) => {
-                        self.on_exit(index, key, t.why.unwrap_or(ExitReason::Other), fenced, now)
-                    }
+                    Some(key) => self.on_exit(
+                        index,
+                        key,
+                        t.exit_reason.unwrap_or(ExitReason::Other),
+                        fenced,
+                        now,
+                    ),
                     None => fenced,
                 };
                 let kept = |m: &Machine| m.kept.contains(&(t.task.clone(), t.attempt));
@@ -587,7 +591,7 @@
         &mut self,
         index: MachineIndex,
         key: SlotKey,
-        why: ExitReason,
+        exit_reason: ExitReason,
         fenced: bool,
         now: Time,
     ) -> bool {
@@ -600,12 +604,12 @@
         if !fenced && known.as_ref().is_none_or(|s| s.inherited) {
             return false;
         }
-        if known.as_ref().is_some_and(|s| s.may_return(why)) {
+        if known.as_ref().is_some_and(|s| s.may_return(exit_reason)) {
             let name = job_task(&self.jobs[&key.job].id, key.task);
             m.kept.insert((name, key.attempt));
         }
         // A service's task is never done: one that exits starts anew.
-        if why == ExitReason::Done && self.jobs[&key.job].spec.kind != Kind::Service {
+        if exit_reason == ExitReason::Done && self.jobs[&key.job].spec.kind != Kind::Service {
             m.finish_slot(&key);
             m.errors = 0;
             m.error_jobs.clear();
@@ -620,12 +624,12 @@
         }
         if known.is_some() {
             if matches!(
-                why,
+                exit_reason,
                 ExitReason::Error | ExitReason::Other | ExitReason::NoSuchTask
             ) {
                 self.on_task_error(key.job, index, now);
             }
-            if why == ExitReason::InUse
+            if exit_reason == ExitReason::InUse
                 && let Some(job) = self.jobs.get_mut(&key.job)
             {
                 // Another attempt, perhaps one that must not be reaped, is in the way there.
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -171,7 +171,7 @@
     ) -> Self {
         let rule = Rule::new(config.tunables.rho, config.tunables.large_share);
         let teams = config.deployment.teams.len();
-        let mut lead = Leader {
+        let mut leader = Leader {
             off_after_s: config.off_after_s(),
             rule,
             token,
@@ -216,10 +216,10 @@
         jobs.sort_by_key(|(_, job)| job.order);
         let entered: Vec<JobIndex> = jobs
             .into_iter()
-            .filter_map(|(id, job)| lead.add_job(id, job, now))
+            .filter_map(|(id, job)| leader.add_job(id, job, now))
             .collect();
-        lead.pass_back(entered);
-        lead
+        leader.pass_back(entered);
+        leader
     }
 
     /// A job's place by its id.
@@ -363,19 +363,20 @@
     /// What jobs that are not over ask for is asked of all that they need: their priority, and their deadline less
     /// the time that they take themselves.
     fn pass_back(&mut self, from: impl IntoIterator<Item = JobIndex>) {
-        let open = |lead: &Leader, index: &JobIndex| lead.jobs[index].ended.is_none();
+        let open = |leader: &Leader, index: &JobIndex| leader.jobs[index].ended.is_none();
         let from: Vec<JobIndex> = from.into_iter().filter(|index| open(self, index)).collect();
-        let lead: RefCell<&mut Leader> = RefCell::new(self);
+        let leader: RefCell<&mut Leader> = RefCell::new(self);
         let needs = |index: JobIndex| -> Vec<JobIndex> {
-            let lead = lead.borrow();
-            let ids = lead.jobs[&index].spec.waits_on.iter();
-            ids.filter_map(|id| lead.job_index(id)).collect()
+            let leader = leader.borrow();
+            let ids = leader.jobs[&index].spec.waits_on.iter();
+            ids.filter_map(|id| leader.job_index(id)).collect()
         };
         let raise = |need: JobIndex, by: JobIndex| -> bool {
-            let mut lead = lead.borrow_mut();
-            let job = &lead.jobs[&by];
-            let (priority, needed_by) = (job.spec.priority, lead.done_by(job) - lead.run_s(job));
-            let Some(need) = lead.jobs.get_mut(&need).filter(|j| j.ended.is_none()) else {
+            let mut leader = leader.borrow_mut();
+            let job = &leader.jobs[&by];
+            let (priority, needed_by) =
+                (job.spec.priority, leader.done_by(job) - leader.run_s(job));
+            let Some(need) = leader.jobs.get_mut(&need).filter(|j| j.ended.is_none()) else {
                 return false;
             };
             let more = need.spec.priority < priority || need.needed_by > needed_by;
@@ -383,10 +384,15 @@
                 Rc::make_mut(&mut need.spec).priority = priority;
             }
             need.needed_by = need.needed_by.min(needed_by);
-            lead.changed |= more;
+            leader.changed |= more;
             more
         };
-        graph::pass_back(from, |index| lead.borrow().jobs[&index].order, needs, raise);
+        graph::pass_back(
+            from,
+            |index| leader.borrow().jobs[&index].order,
+            needs,
+            raise,
+        );
     }
 
     /// By when a job must be done, by its own deadline and those of the jobs that need it.
--- a/src/node/cloud.rs
+++ b/src/node/cloud.rs
@@ -30,8 +30,13 @@
             let failed = matches!(answer, CloudAnswer::Failed);
             let now = self.now();
             // What the cloud did is noted even if the lease is not trusted at this moment.
-            if let Some(lead) = self.lead.borrow_mut().as_mut().filter(|l| l.token == token) {
-                lead.on_cloud(call, answer, now);
+            if let Some(leader) = self
+                .leader
+                .borrow_mut()
+                .as_mut()
+                .filter(|l| l.token == token)
+            {
+                leader.on_cloud(call, answer, now);
             }
             self.work.set();
             if failed {
--- a/src/node/delegate.rs
+++ b/src/node/delegate.rs
@@ -58,7 +58,7 @@
             fresh = true;
         }
         for t in &report.tasks {
-            let done = t.state == TaskState::Exited && t.why == Some(ExitReason::Done);
+            let done = t.state == TaskState::Exited && t.exit_reason == Some(ExitReason::Done);
             if done
                 && let Some((id, task)) = split_task(&t.task)
                 && self.told.insert((t.task.clone(), t.attempt))
--- a/src/node/delegate/tests.rs
+++ b/src/node/delegate/tests.rs
@@ -78,7 +78,7 @@
                 task: task.into(),
                 attempt: 1,
                 state: TaskState::Running,
-                why: None,
+                exit_reason: None,
                 saved: None,
             };
             w.report.tasks = vec![running("j-1/0"), running("j-2/0")];
--- a/src/node/follow.rs
+++ b/src/node/follow.rs
@@ -128,17 +128,17 @@
     pub(super) fn resync(&self) {
         let now = self.now();
         let view = self.view.borrow();
-        if let Some(lead) = self.lead.borrow_mut().as_mut() {
+        if let Some(leader) = self.leader.borrow_mut().as_mut() {
             for (id, job) in &view.jobs {
                 // One that is over may still be on machines, and count there.
-                lead.enter_job(id, job, now);
+                leader.enter_job(id, job, now);
                 if job.needs_cancelled {
-                    lead.on_need_cancelled(id);
+                    leader.on_need_cancelled(id);
                 } else if !job.waits {
-                    lead.on_ready(id, job.ready.unwrap_or(now));
+                    leader.on_ready(id, job.ready.unwrap_or(now));
                 }
                 if let Some(end) = &job.end {
-                    lead.on_end(id, end, now);
+                    leader.on_end(id, end, now);
                 }
             }
         }
@@ -184,7 +184,7 @@
     pub(super) fn take_events(&self, events: &wire::Events) {
         let now = self.now();
         let mut view = self.view.borrow_mut();
-        let mut lead = self.lead.borrow_mut();
+        let mut leader = self.leader.borrow_mut();
         for event in &events.events {
             let (key, value) = match (&event.put, &event.delete) {
                 (Some(key), _) => (key, event.value.as_deref()),
@@ -201,38 +201,38 @@
                         }
                         job.seen.get_or_insert(now);
                     }
-                    if let Some(lead) = lead.as_mut()
+                    if let Some(leader) = leader.as_mut()
                         && let Some(job) = view.jobs.get(&id)
                         && job.end.is_none()
                     {
-                        lead.enter_job(&id, job, now);
+                        leader.enter_job(&id, job, now);
                         self.work.set();
                     }
                 }
                 Some(view::Change::End(id)) => {
-                    if let Some(lead) = lead.as_mut()
+                    if let Some(leader) = leader.as_mut()
                         && let Some(end) = view.jobs.get(&id).and_then(|j| j.end)
                     {
-                        lead.on_end(&id, &end, now);
+                        leader.on_end(&id, &end, now);
                         self.work.set();
                     }
                 }
                 Some(view::Change::Leader) => self.leader_moved.set(),
                 Some(view::Change::StepDownRequest(step_down_request)) => {
                     let deaf_s = self.config.deployment.workers.report_s * DEAF_REPORTS;
-                    if let Some(lead) = lead.as_mut()
-                        && lead.token == step_down_request.token
+                    if let Some(leader) = leader.as_mut()
+                        && leader.token == step_down_request.token
                     {
-                        let many = lead.fleet.machines.len() >= DEAF_MACHINES;
+                        let many = leader.fleet.machines.len() >= DEAF_MACHINES;
                         let deaf_s = if many { deaf_s.min(DEAF_S_MAX) } else { deaf_s };
-                        if now - lead.last_report > deaf_s {
+                        if now - leader.last_report > deaf_s {
                             self.resign.set();
                         }
                     }
                 }
                 Some(view::Change::Relay(record)) => {
-                    if let Some(lead) = lead.as_mut() {
-                        lead.on_relay(&record, now);
+                    if let Some(leader) = leader.as_mut() {
+                        leader.on_relay(&record, now);
                         self.work.set();
                     }
                 }
@@ -243,14 +243,14 @@
                 if let Some(spec) = view.jobs.get(id).and_then(|j| j.spec.as_ref()) {
                     self.expected.borrow_mut().note(spec, now);
                 }
-                if let Some(lead) = lead.as_mut() {
-                    lead.on_ready(id, now);
+                if let Some(leader) = leader.as_mut() {
+                    leader.on_ready(id, now);
                     self.work.set();
                 }
             }
             for id in &moved.cancelled {
-                if let Some(lead) = lead.as_mut() {
-                    lead.on_need_cancelled(id);
+                if let Some(leader) = leader.as_mut() {
+                    leader.on_need_cancelled(id);
                     self.work.set();
                 }
             }
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -106,9 +106,9 @@
                     // While the lease was not trusted no report could be answered: the silence
                     // of the workers was this node's own doing.
                     if self.acting().is_none()
-                        && let Some(lead) = self.lead.borrow_mut().as_mut()
+                        && let Some(leader) = self.leader.borrow_mut().as_mut()
                     {
-                        lead.last_report = now;
+                        leader.last_report = now;
                     }
                     self.tenure.set(Some(tenure));
                 }
@@ -129,7 +129,7 @@
         let Some(types) = view.types.clone() else {
             return false;
         };
-        let mut lead = Leader::begin(
+        let mut leader = Leader::begin(
             self.config.clone(),
             token,
             types,
@@ -137,7 +137,7 @@
             self.expected.clone(),
             now,
         );
-        lead.unix_ms_at_zero = Some(self.rt.unix_ms().saturating_sub((now * 1000.0) as u64));
+        leader.unix_ms_at_zero = Some(self.rt.unix_ms().saturating_sub((now * 1000.0) as u64));
         let within = self.config.deployment.workers.lease_s;
         let mut known: Vec<WorkerSeen> = self.peers.workers(now, within);
         known.extend(
@@ -148,7 +148,7 @@
                 .map(|s| s.worker.clone()),
         );
         for worker in known {
-            lead.call_on(
+            leader.call_on(
                 &worker.machine,
                 &worker.zone,
                 &worker.addr,
@@ -156,7 +156,7 @@
                 now,
             );
         }
-        *self.lead.borrow_mut() = Some(lead);
+        *self.leader.borrow_mut() = Some(leader);
         self.work.set();
         self.cloud_work.set();
         true
@@ -164,7 +164,7 @@
 
     pub(super) fn step_down(&self) {
         self.tenure.set(None);
-        *self.lead.borrow_mut() = None;
+        *self.leader.borrow_mut() = None;
     }
 
     /// Runs `f` on the leader's state, if this node may act under `token` right now.
@@ -172,8 +172,8 @@
         if self.acting() != Some(token) {
             return None;
         }
-        let mut lead = self.lead.borrow_mut();
-        lead.as_mut().filter(|l| l.token == token).map(f)
+        let mut leader = self.leader.borrow_mut();
+        leader.as_mut().filter(|l| l.token == token).map(f)
     }
 
     /// The leader's round: look after machines, place, write, tell workers.
@@ -185,7 +185,7 @@
         loop {
             let now = self.now();
             let due = self
-                .lead
+                .leader
                 .borrow()
                 .as_ref()
                 .and_then(Leader::next_write_at)
@@ -200,14 +200,14 @@
             };
             let now = self.now();
             let pause = self.rt.pause();
-            let begun = self.with_lead(token, |lead| {
-                lead.note_pause(pause);
+            let begun = self.with_lead(token, |leader| {
+                leader.note_pause(pause);
                 let tending = now - tended_at >= tick;
                 if tending {
-                    lead.tend(now);
+                    leader.tend(now);
                 }
-                lead.plan(now);
-                tending && lead.is_mute()
+                leader.plan(now);
+                tending && leader.is_mute()
             });
             took_s = self.now() - now;
             match begun {
@@ -233,7 +233,7 @@
     pub(super) async fn write(&self, token: u64) {
         for _ in 0..WRITES_MAX {
             let now = self.now();
-            let Some(Some(txn)) = self.with_lead(token, |lead| lead.next_txn(now)) else {
+            let Some(Some(txn)) = self.with_lead(token, |leader| leader.next_txn(now)) else {
                 return;
             };
             let outcome = self.store.txn(&txn).await;
@@ -242,9 +242,9 @@
             }
             let now = self.now();
             let next = {
-                let mut lead = self.lead.borrow_mut();
-                match lead.as_mut().filter(|l| l.token == token) {
-                    Some(lead) => lead.txn_done(outcome, now),
+                let mut leader = self.leader.borrow_mut();
+                match leader.as_mut().filter(|l| l.token == token) {
+                    Some(leader) => leader.txn_done(outcome, now),
                     None => return,
                 }
             };
@@ -258,7 +258,7 @@
                     if let Ok(found) = self.store.get(&key).await {
                         let revision = found.map_or(0, |f| f.version);
                         let now = self.now();
-                        self.with_lead(token, |lead| lead.read_back(revision, now));
+                        self.with_lead(token, |leader| leader.read_back(revision, now));
                     }
                 }
                 AfterTxn::Lost => {
@@ -276,8 +276,8 @@
         let gap = self.config.deployment.workers.report_s * DIRECT_REPORTS;
         let most = directs_max(&self.config);
         let wanted = self
-            .with_lead(token, |lead| {
-                lead.directs(now, gap, most.saturating_sub(scope.live()))
+            .with_lead(token, |leader| {
+                leader.directs(now, gap, most.saturating_sub(scope.live()))
             })
             .unwrap_or_default();
         let limit_s = gap.clamp(DIRECT_S_MIN, DIRECT_S_MAX);
@@ -288,8 +288,13 @@
                 let outcome = node.send_direct(token, message, limit_s).await;
                 let now = node.now();
                 // What became of it is noted even if the lease is not trusted at this moment.
-                if let Some(lead) = node.lead.borrow_mut().as_mut().filter(|l| l.token == token) {
-                    lead.on_direct(machine, outcome, now);
+                if let Some(leader) = node
+                    .leader
+                    .borrow_mut()
+                    .as_mut()
+                    .filter(|l| l.token == token)
+                {
+                    leader.on_direct(machine, outcome, now);
                 }
                 node.work.set();
             });
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -45,10 +45,10 @@
             entry.worker.session = report.session;
         }
         if let Some(token) = self.acting().filter(|t| report.token <= *t) {
-            let taken = self.with_lead(token, |lead| {
-                lead.last_report = now;
-                let commands = lead.on_report(&report, Source::Checkin, now);
-                (commands, lead.has_work_waiting())
+            let taken = self.with_lead(token, |leader| {
+                leader.last_report = now;
+                let commands = leader.on_report(&report, Source::Checkin, now);
+                (commands, leader.has_work_waiting())
             });
             if let Some((None, _)) = taken {
                 // Nothing new: perhaps a late copy, perhaps a report that an answer to a direct message
@@ -65,11 +65,11 @@
                     let _ = self.rt.timeout(hold, self.round.next()).await;
                 }
                 let now = self.now();
-                let answered = self.with_lead(token, |lead| {
-                    if lead.lets_lapse(&report.machine, now) {
+                let answered = self.with_lead(token, |leader| {
+                    if leader.lets_lapse(&report.machine, now) {
                         return false;
                     }
-                    if !lead.answer_commands(&report, &mut commands) {
+                    if !leader.answer_commands(&report, &mut commands) {
                         commands.extend(stops(&report, |task| self.is_over(task)));
                     }
                     true
--- a/src/node/tests/requests.rs
+++ b/src/node/tests/requests.rs
@@ -307,17 +307,17 @@
         for i in 0..200 {
             store.submit(&job(&format!("j-{i}"), 1));
         }
-        let mut lead = store.elect_with(config.clone(), "n0", rt.now());
-        lead.end_all();
+        let mut leader = store.elect_with(config.clone(), "n0", rt.now());
+        leader.end_all();
         let node = Rc::new(Node::new(rt, Rc::new(config)));
         node.tenure.set(Some(Tenure {
-            token: lead.token,
+            token: leader.token,
             lease: 1,
             renewed: f64::INFINITY,
         }));
         node.view_was_current(f64::INFINITY);
-        let token = lead.token;
-        *node.lead.borrow_mut() = Some(lead);
+        let token = leader.token;
+        *node.leader.borrow_mut() = Some(leader);
         let rt = rt.clone();
         root.spawn(async move {
             node.write(token).await;
--- a/src/node/tests/world.rs
+++ b/src/node/tests/world.rs
@@ -207,7 +207,7 @@
 
     pub fn acts(&self, at: usize) -> bool {
         self.node(at)
-            .is_some_and(|n| n.acting().is_some() && n.lead.borrow().is_some())
+            .is_some_and(|n| n.acting().is_some() && n.leader.borrow().is_some())
     }
 
     /// Whether a zone and a node can't reach each other.
--- a/src/node/tests/world/gangs.rs
+++ b/src/node/tests/world/gangs.rs
@@ -49,12 +49,18 @@
     }
 }
 
-fn set_state(w: &Worker, task: &str, attempt: u64, state: TaskState, why: Option<ExitReason>) {
+fn set_state(
+    w: &Worker,
+    task: &str,
+    attempt: u64,
+    state: TaskState,
+    exit_reason: Option<ExitReason>,
+) {
     let mut fake = w.fake.borrow_mut();
     let tasks = fake.report.tasks.iter_mut();
     for t in tasks.filter(|t| t.task == task && t.attempt == attempt) {
         t.state = state;
-        t.why = why;
+        t.exit_reason = exit_reason;
     }
 }
 
@@ -141,10 +147,16 @@
     }
 
     /// All tasks of an attempt exit, but for those on machines that hang.
-    fn exit_all(&self, attempt: &Attempt, members: &[Member], why: ExitReason) {
+    fn exit_all(&self, attempt: &Attempt, members: &[Member], exit_reason: ExitReason) {
         let now = self.now();
         for m in members.iter().filter(|m| !m.done && !m.worker.hangs(now)) {
-            set_state(&m.worker, &m.task, attempt.1, TaskState::Exited, Some(why));
+            set_state(
+                &m.worker,
+                &m.task,
+                attempt.1,
+                TaskState::Exited,
+                Some(exit_reason),
+            );
             m.worker.report_change(now);
         }
     }
--- a/src/node/tests/world/workers.rs
+++ b/src/node/tests/world/workers.rs
@@ -66,7 +66,7 @@
         let fake = self.fake.borrow();
         let tasks = fake.report.tasks.iter();
         tasks
-            .filter(|t| t.state == TaskState::Exited && t.why == Some(ExitReason::Done))
+            .filter(|t| t.state == TaskState::Exited && t.exit_reason == Some(ExitReason::Done))
             .cloned()
             .collect()
     }
@@ -175,7 +175,7 @@
                 let over = w.ends.borrow().get(&key).is_some_and(|end| *end <= now);
                 if t.state == TaskState::Running && over {
                     t.state = TaskState::Exited;
-                    t.why = Some(ExitReason::Done);
+                    t.exit_reason = Some(ExitReason::Done);
                     self.checks.completed(&t.task);
                     w.report_change(now);
                 }
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -132,11 +132,11 @@
     }
 
     /// Lets a leader place and write until it has nothing more to write at `now`.
-    pub fn settle(&mut self, lead: &mut Leader, now: Time) {
-        lead.plan(now);
-        while let Some(txn) = lead.next_txn(now) {
+    pub fn settle(&mut self, leader: &mut Leader, now: Time) {
+        leader.plan(now);
+        while let Some(txn) = leader.next_txn(now) {
             let outcome = self.apply(&txn);
-            assert_ne!(lead.txn_done(outcome, now), AfterTxn::Lost);
+            assert_ne!(leader.txn_done(outcome, now), AfterTxn::Lost);
         }
     }
 
@@ -194,7 +194,7 @@
                             task: task.clone(),
                             attempt: *attempt,
                             state: TaskState::Running,
-                            why: None,
+                            exit_reason: None,
                             saved: None,
                         });
                     }
@@ -205,7 +205,7 @@
                         .filter(|t| t.task == *task && t.attempt == *attempt)
                     {
                         t.state = TaskState::Exited;
-                        t.why.get_or_insert(ExitReason::Stopped);
+                        t.exit_reason.get_or_insert(ExitReason::Stopped);
                     }
                 }
                 Command::Forget { task, attempt } => tasks.retain(|t| {
@@ -216,21 +216,21 @@
     }
 
     /// Reports to a leader and carries out its answer; returns the commands.
-    pub fn checkin(&mut self, lead: &mut Leader, now: Time) -> Vec<Command> {
+    pub fn checkin(&mut self, leader: &mut Leader, now: Time) -> Vec<Command> {
         let report = self.next();
-        let Some(mut commands) = lead.on_report(&report, Source::Checkin, now) else {
+        let Some(mut commands) = leader.on_report(&report, Source::Checkin, now) else {
             return Vec::new();
         };
-        lead.answer_commands(&report, &mut commands);
-        self.execute(lead.token, &commands);
+        leader.answer_commands(&report, &mut commands);
+        self.execute(leader.token, &commands);
         commands
     }
 
     /// Ends a task for a reason.
-    pub fn end(&mut self, task: &str, why: ExitReason) {
+    pub fn end(&mut self, task: &str, exit_reason: ExitReason) {
         for t in self.report.tasks.iter_mut().filter(|t| t.task == task) {
             t.state = TaskState::Exited;
-            t.why = Some(why);
+            t.exit_reason = Some(exit_reason);
         }
     }
 
--- a/src/tests/dependency_graphs.rs
+++ b/src/tests/dependency_graphs.rs
@@ -142,12 +142,12 @@
 }
 
 /// By when a job must be done for what needs it to be in time.
-fn needed_by(jobs: &[Generated], at: usize, lead: &Leader) -> Time {
+fn needed_by(jobs: &[Generated], at: usize, leader: &Leader) -> Time {
     let times = dependents(jobs, at).map(|k| {
-        let known = &lead.jobs[&lead.job_index(&jobs[k].spec.id).unwrap()];
+        let known = &leader.jobs[&leader.job_index(&jobs[k].spec.id).unwrap()];
         let own = known.spec.deadline_s.map(|s| known.submitted + s);
-        let done_by = own.unwrap_or(f64::INFINITY).min(needed_by(jobs, k, lead));
-        done_by - lead.run_s(known)
+        let done_by = own.unwrap_or(f64::INFINITY).min(needed_by(jobs, k, leader));
+        done_by - leader.run_s(known)
     });
     times.fold(f64::INFINITY, f64::min)
 }
@@ -264,17 +264,17 @@
     (store, view)
 }
 
-fn lead(view: &View, now: Time) -> Leader {
+fn leader(view: &View, now: Time) -> Leader {
     let config = Rc::new(crate::config::tests::sample());
     let expected = Rc::new(RefCell::new(ArrivalForecast::new(3.0, 120.0, now)));
     Leader::begin(config, 1000, Rc::new(types()), view, expected, now)
 }
 
-fn assert_demands(lead: &Leader, jobs: &[Generated]) {
+fn assert_demands(leader: &Leader, jobs: &[Generated]) {
     for (at, job) in jobs.iter().enumerate().filter(|(at, _)| is_open(jobs, *at)) {
-        let known = &lead.jobs[&lead.job_index(&job.spec.id).unwrap()];
+        let known = &leader.jobs[&leader.job_index(&job.spec.id).unwrap()];
         assert_eq!(known.spec.priority, priority(jobs, at), "{}", job.spec.id);
-        let expected = needed_by(jobs, at, lead);
+        let expected = needed_by(jobs, at, leader);
         let equal = known.needed_by == expected || (known.needed_by - expected).abs() < 1e-9;
         assert!(equal, "{}: {} {expected}", job.spec.id, known.needed_by);
     }
@@ -301,7 +301,7 @@
         let jobs = generate(&mut rng, seed % 2 == 0);
         let skew_ms = rng.random_range(-SKEW_S * 1000.0..SKEW_S * 1000.0);
         let (_, view) = read(&jobs, now, UNIX_MS + (now * 1000.0 + skew_ms) as u64);
-        let reader = lead(&view, now);
+        let reader = leader(&view, now);
         assert_demands(&reader, &jobs);
         for (at, job) in jobs.iter().enumerate().filter(|(_, j)| j.end.is_none()) {
             let known = &reader.jobs[&reader.job_index(&job.spec.id).unwrap()];
@@ -315,7 +315,7 @@
         if jobs.iter().any(|j| j.end.is_some()) {
             continue;
         }
-        let mut follower = lead(&View::default(), 0.0);
+        let mut follower = leader(&View::default(), 0.0);
         for at in 0..jobs.len() {
             let (_, known) = read(&jobs[..=at], submitted_at(at), UNIX_MS);
             let id: Rc<str> = jobs[at].spec.id.as_str().into();
@@ -330,7 +330,7 @@
 fn a_submission_is_never_in_the_future() {
     let jobs = generate(&mut SmallRng::seed_from_u64(1), false);
     let (_, view) = read(&jobs, 0.0, UNIX_MS - 200);
-    let known = lead(&view, 0.0);
+    let known = leader(&view, 0.0);
     assert!(known.jobs.values().all(|job| job.submitted <= 0.0));
 }
 
--- a/src/tests/random_faults.rs
+++ b/src/tests/random_faults.rs
@@ -126,7 +126,7 @@
 struct Node {
     down_until: f64,
     paused_until: f64,
-    lead: Option<Leader>,
+    leader: Option<Leader>,
     trusted_until: f64,
     renew_at: f64,
     tend_at: f64,
@@ -377,7 +377,7 @@
         }
         for at in 0..NODES {
             let node = &self.nodes[at];
-            let Some(token) = node.lead.as_ref().map(|l| l.token) else {
+            let Some(token) = node.leader.as_ref().map(|l| l.token) else {
                 continue;
             };
             if node.paused_until > self.now || node.renew_at > self.now {
@@ -393,25 +393,25 @@
                     *until = now + life_s;
                     node.trusted_until = now + trusted_s;
                 }
-                _ => node.lead = None,
+                _ => node.leader = None,
             }
         }
         let at = self.rng.random_range(0..NODES);
         let able = |n: &Node| n.down_until <= self.now && n.paused_until <= self.now;
         if self.office.is_none() && able(&self.nodes[at]) {
             let (config, host) = (self.config.clone(), format!("n{at}"));
-            let mut lead = self.store.elect_with(config, &host, self.now);
+            let mut leader = self.store.elect_with(config, &host, self.now);
             if self.broken == Broken::Lease {
-                lead.off_after_s = self.lease_s * 0.2;
+                leader.off_after_s = self.lease_s * 0.2;
             }
             for (name, w) in &self.workers {
                 let r = &w.fake.report;
-                lead.call_on(name, &r.zone, &r.addr, r.session, self.now);
+                leader.call_on(name, &r.zone, &r.addr, r.session, self.now);
             }
-            self.office = Some((at, lead.token, self.now + self.life_s));
+            self.office = Some((at, leader.token, self.now + self.life_s));
             self.nodes[at] = Node {
                 trusted_until: self.now + self.trusted_s,
-                lead: Some(lead),
+                leader: Some(leader),
                 ..Node::default()
             };
         }
@@ -422,7 +422,7 @@
         let now = self.now;
         let node = &mut self.nodes[at];
         let able = node.down_until <= now && node.paused_until <= now && now < node.trusted_until;
-        node.lead.as_mut().filter(|_| able)
+        node.leader.as_mut().filter(|_| able)
     }
 
     fn do_duty(&mut self, at: usize) {
@@ -431,25 +431,27 @@
         let calls = self.nodes[at].cloud_at <= now;
         let writing = self.nodes[at].writing;
         let forgets = self.broken == Broken::StandIns;
-        let Some(lead) = self.acting(at) else { return };
-        let token = lead.token;
+        let Some(leader) = self.acting(at) else {
+            return;
+        };
+        let token = leader.token;
         if forgets {
-            lead.zones.forget_delegations();
+            leader.zones.forget_delegations();
         }
         if tends {
-            lead.tend(now);
+            leader.tend(now);
         }
-        lead.plan(now);
-        let messages = lead.directs(now, 1.5, 8);
-        let txn = if writing { None } else { lead.next_txn(now) };
+        leader.plan(now);
+        let messages = leader.directs(now, 1.5, 8);
+        let txn = if writing { None } else { leader.next_txn(now) };
         let call = if calls {
-            lead.next_cloud_call(now)
+            leader.next_cloud_call(now)
         } else {
             None
         };
         let names: Vec<String> = messages
             .iter()
-            .map(|m| lead.fleet.machines[&m.machine].name.to_string())
+            .map(|m| leader.fleet.machines[&m.machine].name.to_string())
             .collect();
         if tends {
             self.nodes[at].tend_at = now + 0.5;
@@ -468,8 +470,8 @@
             let answer = self.answer_cloud(&call);
             let failed = self.trouble(0.15);
             let answer = if failed { CloudAnswer::Failed } else { answer };
-            if let Some(lead) = self.acting(at) {
-                lead.on_cloud(call, answer, now);
+            if let Some(leader) = self.acting(at) {
+                leader.on_cloud(call, answer, now);
             }
         }
     }
@@ -641,8 +643,12 @@
                 outcome,
             }) => {
                 // Noted even if the lease is not trusted at this moment.
-                if let Some(lead) = self.nodes[node].lead.as_mut().filter(|l| l.token == token) {
-                    lead.on_direct(machine, outcome, now);
+                if let Some(leader) = self.nodes[node]
+                    .leader
+                    .as_mut()
+                    .filter(|l| l.token == token)
+                {
+                    leader.on_direct(machine, outcome, now);
                 }
             }
             Some(Post::Write {
@@ -675,8 +681,8 @@
                 outcome,
             }) => self.take_written(node, token, outcome),
             Some(Post::Relay { node, record }) => {
-                if let Some(lead) = self.nodes[node].lead.as_mut() {
-                    lead.on_relay(&record, now);
+                if let Some(leader) = self.nodes[node].leader.as_mut() {
+                    leader.on_relay(&record, now);
                 }
             }
             Some(Post::Job { node, id }) => {
@@ -684,13 +690,13 @@
                 stored.spec = Some(Rc::new(self.jobs[&id].clone()));
                 // Changes are followed in their order: an end that came already came after this.
                 let known = !self.ends.contains_key(&id);
-                if let Some(lead) = self.nodes[node].lead.as_mut().filter(|_| known) {
-                    lead.enter_job(&id.as_str().into(), &stored, now);
+                if let Some(leader) = self.nodes[node].leader.as_mut().filter(|_| known) {
+                    leader.enter_job(&id.as_str().into(), &stored, now);
                 }
             }
             Some(Post::End { node, id, record }) => {
-                if let Some(lead) = self.nodes[node].lead.as_mut() {
-                    lead.on_end(&id, &record, now);
+                if let Some(leader) = self.nodes[node].leader.as_mut() {
+                    leader.on_end(&id, &record, now);
                 }
             }
         }
@@ -715,53 +721,53 @@
     fn take_written(&mut self, at: usize, token: u64, outcome: TxnOutcome) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        let Some(lead) = node.lead.as_mut().filter(|l| l.token == token) else {
+        let Some(leader) = node.leader.as_mut().filter(|l| l.token == token) else {
             return;
         };
         node.writing = false;
-        match lead.txn_done(outcome, now) {
+        match leader.txn_done(outcome, now) {
             AfterTxn::Go | AfterTxn::Again => {}
             AfterTxn::ReadBack(key) => {
                 let stamp = self.store.keys.get(&key).map_or(0, |(_, stamp)| *stamp);
-                lead.read_back(stamp, now);
+                leader.read_back(stamp, now);
             }
             AfterTxn::Lost => {
                 if self.office.is_some_and(|(_, t, _)| t == token) {
                     self.wrong.push("gave up an office that it held".into());
                 }
-                node.lead = None;
+                node.leader = None;
             }
         }
     }
 
     fn take_report(&mut self, at: usize, mut report: Report, late: bool) {
         let now = self.now;
-        let leader = self.office.map(|(node, ..)| node).filter(|n| *n != at);
+        let leader_node = self.office.map(|(node, ..)| node).filter(|n| *n != at);
         let forged = self.broken == Broken::Copies && late;
-        let Some(lead) = self.acting(at) else {
+        let Some(leader) = self.acting(at) else {
             if let Some(token) = self.stands_in(at, &report) {
                 let commands = self.delegate_zone(&report, token);
                 return self.answer(at, &report, Some((token, commands)), None);
             }
-            return self.answer(at, &report, None, leader);
+            return self.answer(at, &report, None, leader_node);
         };
         if forged {
-            let known = lead.fleet.find(&report.machine);
-            if let Some(m) = known.and_then(|index| lead.fleet.machines.get(&index)) {
+            let known = leader.fleet.find(&report.machine);
+            if let Some(m) = known.and_then(|index| leader.fleet.machines.get(&index)) {
                 (report.session, report.seq) = (m.session, m.seq + 1);
             }
-            report.token = lead.token;
+            report.token = leader.token;
         }
-        if report.token > lead.token {
-            return self.answer(at, &report, None, leader);
+        if report.token > leader.token {
+            return self.answer(at, &report, None, leader_node);
         }
-        lead.last_report = now;
+        leader.last_report = now;
         let mut commands = Vec::new();
-        if let Some(given) = lead.on_report(&report, Source::Checkin, now) {
+        if let Some(given) = leader.on_report(&report, Source::Checkin, now) {
             commands = given;
-            lead.answer_commands(&report, &mut commands);
+            leader.answer_commands(&report, &mut commands);
         }
-        let token = lead.token;
+        let token = leader.token;
         self.answer(at, &report, Some((token, commands)), None);
     }
 
@@ -951,14 +957,14 @@
             let alive = |t: &&ReportTask| t.state != TaskState::Exited;
             let cpus = |name: &str| split_task(name).map_or(0.0, |(id, _)| self.jobs[id].cpus);
             let used: f64 = tasks.iter().filter(alive).map(|t| cpus(&t.task)).sum();
-            let why = if tasks.iter().filter(alive).any(|t| t.task == *task) {
+            let exit_reason = if tasks.iter().filter(alive).any(|t| t.task == *task) {
                 Some(ExitReason::InUse)
             } else if used + cpus(task) > 8.0 {
                 Some(ExitReason::Full)
             } else {
                 None
             };
-            let state = match why {
+            let state = match exit_reason {
                 Some(_) => TaskState::Exited,
                 None => TaskState::Fetching,
             };
@@ -966,7 +972,7 @@
                 task: task.clone(),
                 attempt: *attempt,
                 state,
-                why,
+                exit_reason,
                 saved: None,
             });
             w.times
@@ -1025,7 +1031,7 @@
             let t = &mut w.fake.report.tasks[at];
             t.state = state;
             if state == TaskState::Exited {
-                t.why = Some(ExitReason::Done);
+                t.exit_reason = Some(ExitReason::Done);
                 self.done.insert(t.task.clone());
             }
             if let Some(times) = w.times.get_mut(&(t.task.clone(), t.attempt)) {
@@ -1086,15 +1092,15 @@
                     }
                     (TaskState::Waiting, _) if times.as_ref().unwrap().0 + 50.0 < now => {
                         t.state = TaskState::Exited;
-                        t.why = Some(ExitReason::Incomplete);
+                        t.exit_reason = Some(ExitReason::Incomplete);
                     }
                     (TaskState::Running, _) if !whole || !able => {
                         t.state = TaskState::Exited;
-                        t.why = Some(ExitReason::Peers);
+                        t.exit_reason = Some(ExitReason::Peers);
                     }
                     (TaskState::Running, Some(end)) if end <= now => {
                         t.state = TaskState::Exited;
-                        t.why = Some(ExitReason::Done);
+                        t.exit_reason = Some(ExitReason::Done);
                         self.done.insert(t.task.clone());
                     }
                     _ => continue,
--- a/src/tests/scenarios.rs
+++ b/src/tests/scenarios.rs
@@ -28,30 +28,30 @@
 }
 
 /// Lets a worker report until the leader knows that it has seen its token.
-fn meet(worker: &mut FakeWorker, lead: &mut Leader, now: f64) {
-    worker.checkin(lead, now);
-    worker.checkin(lead, now);
+fn meet(worker: &mut FakeWorker, leader: &mut Leader, now: f64) {
+    worker.checkin(leader, now);
+    worker.checkin(leader, now);
 }
 
 /// A job placed and stored, not yet launched, on a machine whose worker knows the leader.
 fn placed(spec: &Submission) -> (FakeStore, Leader, FakeWorker) {
     let mut store = FakeStore::default();
     store.submit(spec);
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut w = FakeWorker::new("i-1", "small", "north");
-    meet(&mut w, &mut lead, 1.0);
-    store.settle(&mut lead, 2.0);
-    (store, lead, w)
+    meet(&mut w, &mut leader, 1.0);
+    store.settle(&mut leader, 2.0);
+    (store, leader, w)
 }
 
 /// The names that a leader returns to the cloud next, if it returns any.
-fn returned(lead: &mut Leader, now: f64) -> Vec<String> {
-    while let Some(call) = lead.next_cloud_call(now) {
+fn returned(leader: &mut Leader, now: f64) -> Vec<String> {
+    while let Some(call) = leader.next_cloud_call(now) {
         match call {
             CloudCall::Delete(names) => return names,
-            CloudCall::Rent(..) => lead.on_cloud(call, CloudAnswer::NoCapacity, now),
+            CloudCall::Rent(..) => leader.on_cloud(call, CloudAnswer::NoCapacity, now),
             CloudCall::List { .. } | CloudCall::Types => {
-                lead.on_cloud(call, CloudAnswer::Failed, now);
+                leader.on_cloud(call, CloudAnswer::Failed, now);
             }
         }
     }
--- a/src/tests/scenarios/direct.rs
+++ b/src/tests/scenarios/direct.rs
@@ -18,8 +18,8 @@
     let mut spec = job("j-1", 1);
     spec.class = "hasty".into();
     store.submit(&spec);
-    let mut lead = store.elect("n0", 0.0);
-    let mut config = (*lead.config).clone();
+    let mut leader = store.elect("n0", 0.0);
+    let mut config = (*leader.config).clone();
     config.deployment.objectives.push(Objective {
         kind: "wait".into(),
         class: Some("hasty".into()),
@@ -27,109 +27,109 @@
         share: None,
         times: None,
     });
-    lead.config = Rc::new(config);
+    leader.config = Rc::new(config);
     let mut w = FakeWorker::new("i-1", "small", "north");
-    meet(&mut w, &mut lead, 1.0);
-    store.settle(&mut lead, 1.0);
-    let mut messages = lead.directs(1.1, 0.0, 10);
+    meet(&mut w, &mut leader, 1.0);
+    store.settle(&mut leader, 1.0);
+    let mut messages = leader.directs(1.1, 0.0, 10);
     assert_eq!(messages.len(), 1);
     let message = messages.remove(0);
     assert_eq!(starts(&message.commands), 1);
-    (store, lead, w, message)
+    (store, leader, w, message)
 }
 
 #[test]
 fn a_direct_launch_is_given_once_and_its_answer_counts() {
-    let (mut store, mut lead, mut w, message) = hasty();
+    let (mut store, mut leader, mut w, message) = hasty();
     // A report made before it arrived: nothing is launched twice, nothing is concluded.
-    assert_eq!(starts(&w.checkin(&mut lead, 1.2)), 0);
-    assert_eq!(lead.directs(1.3, 0.0, 10).len(), 0);
-    w.execute(lead.token, &message.commands);
-    lead.on_direct(message.machine, DirectOutcome::Done(w.next()), 1.4);
+    assert_eq!(starts(&w.checkin(&mut leader, 1.2)), 0);
+    assert_eq!(leader.directs(1.3, 0.0, 10).len(), 0);
+    w.execute(leader.token, &message.commands);
+    leader.on_direct(message.machine, DirectOutcome::Done(w.next()), 1.4);
     assert_eq!(w.running(), ["j-1/0"]);
     w.end("j-1/0", ExitReason::Done);
-    w.checkin(&mut lead, 2.0);
-    store.settle(&mut lead, 3.0);
-    w.checkin(&mut lead, 4.0);
+    w.checkin(&mut leader, 2.0);
+    store.settle(&mut leader, 3.0);
+    w.checkin(&mut leader, 4.0);
     assert_eq!(store.end("j-1"), Some(End::Done));
     assert!(w.report.tasks.is_empty());
 }
 
 #[test]
 fn a_direct_launch_without_an_answer_keeps_the_task_there() {
-    let (mut store, mut lead, mut w, message) = hasty();
-    lead.on_direct(message.machine, DirectOutcome::Unknown, 3.0);
+    let (mut store, mut leader, mut w, message) = hasty();
+    leader.on_direct(message.machine, DirectOutcome::Unknown, 3.0);
     let mut other = FakeWorker::new("i-2", "small", "north");
     let mut now = 3.0;
     for _ in 0..4 {
         now += 1.0;
-        meet(&mut other, &mut lead, now);
-        store.settle(&mut lead, now);
-        assert_eq!(starts(&other.checkin(&mut lead, now)), 0);
+        meet(&mut other, &mut leader, now);
+        store.settle(&mut leader, now);
+        assert_eq!(starts(&other.checkin(&mut leader, now)), 0);
     }
     // The next answer carries the same launch.
-    let commands = w.checkin(&mut lead, now);
+    let commands = w.checkin(&mut leader, now);
     assert_eq!(commands, message.commands);
     // It fails there and exits. Reaped, the late message would start it again, while it runs
     // elsewhere.
-    w.checkin(&mut lead, now);
+    w.checkin(&mut leader, now);
     w.end("j-1/0", ExitReason::Error);
     for _ in 0..3 {
         now += 0.5;
-        w.checkin(&mut lead, now);
-        store.settle(&mut lead, now);
-        w.execute(lead.token, &message.commands);
+        w.checkin(&mut leader, now);
+        store.settle(&mut leader, now);
+        w.execute(leader.token, &message.commands);
     }
     assert!(w.running().is_empty(), "{:?}", w.running());
     assert!(
         w.report
             .tasks
             .iter()
-            .any(|t| t.why == Some(ExitReason::Error))
+            .any(|t| t.exit_reason == Some(ExitReason::Error))
     );
     // A new session knows nothing of it, and refuses the late message.
     w.report.session += 1;
     w.report.tasks.clear();
-    w.checkin(&mut lead, now + 1.0);
-    let m = lead.fleet.machines.values().next().unwrap();
+    w.checkin(&mut leader, now + 1.0);
+    let m = leader.fleet.machines.values().next().unwrap();
     assert!(m.slots.values().all(|s| !s.in_doubt()));
 }
 
 #[test]
 fn a_withdrawn_job_with_a_launch_in_doubt_costs_the_machine() {
-    let (mut store, mut lead, mut w, message) = hasty();
-    lead.on_direct(message.machine, DirectOutcome::Unknown, 3.0);
+    let (mut store, mut leader, mut w, message) = hasty();
+    leader.on_direct(message.machine, DirectOutcome::Unknown, 3.0);
     let end = EndRecord {
         end: End::Cancelled,
         done: 0,
         at_ms: None,
     };
     store.put(key::end("j-1"), &end);
-    lead.on_end("j-1", &end, 3.5);
+    leader.on_end("j-1", &end, 3.5);
     let mut gone = Vec::new();
     let mut now = 3.5;
     while gone.is_empty() {
         now += 1.0;
         assert!(now < 20.0);
-        assert_eq!(starts(&w.checkin(&mut lead, now)), 0);
-        lead.last_report = now;
-        lead.tend(now);
-        gone = returned(&mut lead, now);
+        assert_eq!(starts(&w.checkin(&mut leader, now)), 0);
+        leader.last_report = now;
+        leader.tend(now);
+        gone = returned(&mut leader, now);
     }
     assert_eq!(gone, ["i-1"]);
-    lead.on_cloud(CloudCall::Delete(gone), CloudAnswer::Deleted, now);
-    assert!(lead.jobs.values().all(|j| j.slots == 0));
+    leader.on_cloud(CloudCall::Delete(gone), CloudAnswer::Deleted, now);
+    assert!(leader.jobs.values().all(|j| j.slots == 0));
 }
 
 #[test]
 fn a_direct_launch_that_found_nobody_goes_elsewhere_at_once() {
-    let (mut store, mut lead, _w, message) = hasty();
+    let (mut store, mut leader, _w, message) = hasty();
     let mut other = FakeWorker::new("i-2", "small", "north");
-    meet(&mut other, &mut lead, 1.5);
-    lead.on_direct(message.machine, DirectOutcome::NotSent, 2.0);
-    store.settle(&mut lead, 2.0);
-    let commands = other.checkin(&mut lead, 2.5);
-    let again = lead.directs(2.5, 0.0, 10);
+    meet(&mut other, &mut leader, 1.5);
+    leader.on_direct(message.machine, DirectOutcome::NotSent, 2.0);
+    store.settle(&mut leader, 2.0);
+    let commands = other.checkin(&mut leader, 2.5);
+    let again = leader.directs(2.5, 0.0, 10);
     let sent = again.iter().map(|m| starts(&m.commands)).sum::<usize>() + starts(&commands);
     assert_eq!(sent, 1);
 }
@@ -140,35 +140,35 @@
 fn a_machine_known_by_direct_messages_alone_gets_no_work_and_keeps_what_it_shows() {
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 1));
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut w = FakeWorker::new("i-1", "small", "north");
     // Long after the tenure began it answers a call, as a machine that was just rented does.
-    let call = |lead: &mut Leader, w: &mut FakeWorker, now: f64| {
-        lead.call_on("i-1", "north", "127.0.0.1:9", 1, now);
-        w.execute(lead.token, &[]);
-        let index = lead.fleet.find("i-1").unwrap();
-        lead.on_direct(index, DirectOutcome::Done(w.next()), now);
+    let call = |leader: &mut Leader, w: &mut FakeWorker, now: f64| {
+        leader.call_on("i-1", "north", "127.0.0.1:9", 1, now);
+        w.execute(leader.token, &[]);
+        let index = leader.fleet.find("i-1").unwrap();
+        leader.on_direct(index, DirectOutcome::Done(w.next()), now);
     };
     // It may be used for as long as its first report may still come, and not after that.
-    call(&mut lead, &mut w, 90.0);
-    let m = |lead: &Leader| lead.fleet.machines[&lead.fleet.find("i-1").unwrap()].clone();
-    assert!(lead.is_open(&m(&lead), 92.0));
+    call(&mut leader, &mut w, 90.0);
+    let m = |leader: &Leader| leader.fleet.machines[&leader.fleet.find("i-1").unwrap()].clone();
+    assert!(leader.is_open(&m(&leader), 92.0));
     for now in [93.0, 96.0, 99.0] {
-        call(&mut lead, &mut w, now);
+        call(&mut leader, &mut w, now);
     }
-    store.settle(&mut lead, 100.0);
-    assert!(!lead.is_open(&m(&lead), 100.0));
-    assert_eq!(lead.jobs.values().next().unwrap().bound, 0);
+    store.settle(&mut leader, 100.0);
+    assert!(!leader.is_open(&m(&leader), 100.0));
+    assert_eq!(leader.jobs.values().next().unwrap().bound, 0);
     // It reports once, and is launched on; after that only its answers to messages come.
-    w.checkin(&mut lead, 101.0);
-    store.settle(&mut lead, 101.0);
-    w.checkin(&mut lead, 102.0);
+    w.checkin(&mut leader, 101.0);
+    store.settle(&mut leader, 101.0);
+    w.checkin(&mut leader, 102.0);
     assert_eq!(w.running(), ["j-1/0"]);
     w.report.session = 2;
     for step in 0..12 {
         let now = 103.0 + f64::from(step) * 3.0;
-        call(&mut lead, &mut w, now);
-        lead.expire(now);
-        assert_eq!(lead.jobs.values().next().unwrap().bound, 1);
+        call(&mut leader, &mut w, now);
+        leader.expire(now);
+        assert_eq!(leader.jobs.values().next().unwrap().bound, 1);
     }
 }
--- a/src/tests/scenarios/machines.rs
+++ b/src/tests/scenarios/machines.rs
@@ -13,25 +13,25 @@
     for i in 1..=3 {
         store.submit(&job(&format!("j-{i}"), 1));
     }
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut w = FakeWorker::new("i-1", "small", "north");
-    meet(&mut w, &mut lead, 1.0);
+    meet(&mut w, &mut leader, 1.0);
     let mut now = 1.0;
     for _ in 0..30 {
         now += 3.0;
-        store.settle(&mut lead, now);
-        w.checkin(&mut lead, now);
+        store.settle(&mut leader, now);
+        w.checkin(&mut leader, now);
         for task in w.running() {
             w.end(&task, ExitReason::Error);
         }
-        w.checkin(&mut lead, now);
+        w.checkin(&mut leader, now);
     }
-    let m = lead.fleet.machines.values().next().unwrap();
+    let m = leader.fleet.machines.values().next().unwrap();
     assert!(m.suspect);
 
     let mut store = FakeStore::default();
     store.submit(&job("j-9", 1));
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut ws: Vec<FakeWorker> = (0..6)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
         .collect();
@@ -39,14 +39,14 @@
     for _ in 0..40 {
         now += 3.0;
         for w in &mut ws {
-            w.checkin(&mut lead, now);
+            w.checkin(&mut leader, now);
             for task in w.running() {
                 w.end(&task, ExitReason::Error);
             }
         }
-        store.settle(&mut lead, now);
+        store.settle(&mut leader, now);
     }
-    assert!(lead.fleet.machines.values().all(|m| !m.suspect));
+    assert!(leader.fleet.machines.values().all(|m| !m.suspect));
 }
 
 /// A leader that was cut off from all workers once returned half of its machines as lost.
@@ -55,7 +55,7 @@
     for deaf in [true, false] {
         let mut store = FakeStore::default();
         store.submit(&job("j-1", 30));
-        let mut lead = store.elect("n0", 0.0);
+        let mut leader = store.elect("n0", 0.0);
         let mut workers: Vec<FakeWorker> = (0..8)
             .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
             .collect();
@@ -63,22 +63,22 @@
         for round in 0..5 {
             for (i, w) in workers.iter_mut().enumerate() {
                 let now = f64::from(round) * 3.0 + i as f64 * 0.35;
-                w.checkin(&mut lead, now);
-                lead.last_report = now;
+                w.checkin(&mut leader, now);
+                leader.last_report = now;
             }
-            store.settle(&mut lead, f64::from(round) * 3.0 + 2.9);
+            store.settle(&mut leader, f64::from(round) * 3.0 + 2.9);
         }
         let mut gone = Vec::new();
         for step in 0..40 {
             let now = 15.0 + f64::from(step) * 0.3;
             if !deaf {
                 for w in &mut workers[1..] {
-                    w.checkin(&mut lead, now);
-                    lead.last_report = now;
+                    w.checkin(&mut leader, now);
+                    leader.last_report = now;
                 }
             }
-            lead.tend(now);
-            gone.extend(returned(&mut lead, now));
+            leader.tend(now);
+            gone.extend(returned(&mut leader, now));
         }
         gone.dedup();
         assert_eq!(gone.is_empty(), deaf, "{gone:?}");
@@ -90,37 +90,37 @@
 #[test]
 fn a_late_report_does_not_bring_a_returned_machine_back() {
     let mut store = FakeStore::default();
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut w = FakeWorker::new("i-1", "small", "north");
-    meet(&mut w, &mut lead, 1.0);
+    meet(&mut w, &mut leader, 1.0);
     let late = w.next();
     let names = vec!["i-1".to_owned()];
-    lead.on_cloud(CloudCall::Delete(names), CloudAnswer::Deleted, 5.0);
-    assert!(lead.fleet.find("i-1").is_none());
-    assert_eq!(lead.on_report(&late, Source::Checkin, 20.0), None);
-    assert!(lead.fleet.find("i-1").is_none());
+    leader.on_cloud(CloudCall::Delete(names), CloudAnswer::Deleted, 5.0);
+    assert!(leader.fleet.find("i-1").is_none());
+    assert_eq!(leader.on_report(&late, Source::Checkin, 20.0), None);
+    assert!(leader.fleet.find("i-1").is_none());
 }
 
 /// After each takeover unneeded machines were once kept a minute longer, as if just rented.
 #[test]
 fn a_machine_known_by_its_report_was_rented_when_the_list_says() {
     let mut store = FakeStore::default();
-    let mut lead = store.elect("n1", 100.0);
+    let mut leader = store.elect("n1", 100.0);
     let mut w = FakeWorker::new("i-1", "small", "north");
-    meet(&mut w, &mut lead, 101.0);
+    meet(&mut w, &mut leader, 101.0);
     let listed = r#"[{"Uid":"i-1","Addr":"127.0.0.1:9","Rig":"small","Yard":"north","Loaner":false,
         "Status":"running","HeldS":300.0}]"#;
     let call = CloudCall::List {
         after: String::new(),
     };
     let answer = CloudAnswer::List(serde_json::from_str(listed).unwrap(), false);
-    lead.on_cloud(call, answer, 102.0);
+    leader.on_cloud(call, answer, 102.0);
     let mut gone = Vec::new();
     for now in 102..125 {
-        w.checkin(&mut lead, f64::from(now));
-        lead.last_report = f64::from(now);
-        lead.tend(f64::from(now));
-        gone.extend(returned(&mut lead, f64::from(now)));
+        w.checkin(&mut leader, f64::from(now));
+        leader.last_report = f64::from(now);
+        leader.tend(f64::from(now));
+        gone.extend(returned(&mut leader, f64::from(now)));
     }
     assert!(gone.contains(&"i-1".to_owned()));
 }
@@ -130,14 +130,14 @@
 fn a_machine_that_does_not_hear_gets_no_work_and_is_returned() {
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 2));
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut others: Vec<FakeWorker> = (1..4)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
         .collect();
     let mut deaf = FakeWorker::new("i-9", "small", "north");
-    meet(&mut deaf, &mut lead, 1.0);
-    store.settle(&mut lead, 1.0);
-    deaf.checkin(&mut lead, 1.5);
+    meet(&mut deaf, &mut leader, 1.0);
+    store.settle(&mut leader, 1.0);
+    deaf.checkin(&mut leader, 1.5);
     assert_eq!(deaf.running().len(), 2);
     // From now on it tries all controllers in turn, and its session ends.
     let mut now = 3.0;
@@ -152,16 +152,16 @@
             deaf.report.tasks.clear();
         }
         deaf.report.seq += 2;
-        lead.on_report(&deaf.report.clone(), Source::Checkin, now);
+        leader.on_report(&deaf.report.clone(), Source::Checkin, now);
         for w in &mut others {
-            w.checkin(&mut lead, now);
+            w.checkin(&mut leader, now);
         }
-        lead.last_report = now;
-        store.settle(&mut lead, now);
-        lead.tend(now);
-        let m = &lead.fleet.machines[&lead.fleet.find("i-9").unwrap()];
+        leader.last_report = now;
+        store.settle(&mut leader, now);
+        leader.tend(now);
+        let m = &leader.fleet.machines[&leader.fleet.find("i-9").unwrap()];
         assert!(m.slots.values().all(|s| s.state.is_some()), "new work");
-        gone = returned(&mut lead, now);
+        gone = returned(&mut leader, now);
         gone.retain(|name| name == "i-9");
     }
     assert!(now < 30.0, "{now}");
@@ -173,20 +173,20 @@
 fn late_copies_of_reports_get_no_commands_and_free_nothing() {
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 2));
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut w = FakeWorker::new("i-1", "small", "north");
-    w.checkin(&mut lead, 1.0);
+    w.checkin(&mut leader, 1.0);
     let old = w.next();
-    let mut commands = lead.on_report(&old, Source::Checkin, 1.5).unwrap();
-    lead.answer_commands(&old, &mut commands);
-    store.settle(&mut lead, 2.0);
-    assert_eq!(lead.on_report(&old, Source::Checkin, 2.1), None);
-    assert_eq!(starts(&w.checkin(&mut lead, 2.2)), 2);
-    w.checkin(&mut lead, 3.0);
+    let mut commands = leader.on_report(&old, Source::Checkin, 1.5).unwrap();
+    leader.answer_commands(&old, &mut commands);
+    store.settle(&mut leader, 2.0);
+    assert_eq!(leader.on_report(&old, Source::Checkin, 2.1), None);
+    assert_eq!(starts(&w.checkin(&mut leader, 2.2)), 2);
+    w.checkin(&mut leader, 3.0);
     // Long after a lease, the copy from before the launch.
     for now in [4.0, 30.0, 60.0] {
-        assert_eq!(lead.on_report(&old, Source::Checkin, now), None);
-        assert_eq!(lead.jobs.values().next().unwrap().bound, 2);
+        assert_eq!(leader.on_report(&old, Source::Checkin, now), None);
+        assert_eq!(leader.jobs.values().next().unwrap().bound, 2);
     }
     // A new leader hears the copy first: it shows an older token and frees nothing.
     let mut new = store.elect("n1", 70.0);
@@ -200,16 +200,16 @@
 /// Work bound to a machine that fell silent before it was told once waited for its whole lease.
 #[test]
 fn what_a_silent_machine_was_never_told_goes_elsewhere() {
-    let (mut store, mut lead, _silent) = placed(&job("j-1", 2));
+    let (mut store, mut leader, _silent) = placed(&job("j-1", 2));
     let mut other = FakeWorker::new("i-2", "small", "north");
     let mut now = 2.0;
     while other.running().len() < 2 {
         now += 1.0;
         assert!(now < 10.0);
-        meet(&mut other, &mut lead, now);
-        lead.expire(now);
-        store.settle(&mut lead, now);
-        other.checkin(&mut lead, now);
+        meet(&mut other, &mut leader, now);
+        leader.expire(now);
+        store.settle(&mut leader, now);
+        other.checkin(&mut leader, now);
     }
 }
 
@@ -220,17 +220,17 @@
     for all in [false, true] {
         let mut store = FakeStore::default();
         store.submit(&gang("j-1", 4));
-        let mut lead = store.elect("n0", 0.0);
+        let mut leader = store.elect("n0", 0.0);
         let mut ws: Vec<FakeWorker> = (0..5)
             .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
             .collect();
         for w in &mut ws {
-            meet(w, &mut lead, 1.0);
+            meet(w, &mut leader, 1.0);
         }
-        store.settle(&mut lead, 1.0);
+        store.settle(&mut leader, 1.0);
         for w in &mut ws {
-            w.checkin(&mut lead, 2.0);
-            w.checkin(&mut lead, 2.5);
+            w.checkin(&mut leader, 2.0);
+            w.checkin(&mut leader, 2.5);
         }
         for (i, w) in ws.iter_mut().enumerate() {
             for task in w.running() {
@@ -244,12 +244,12 @@
                     },
                 );
             }
-            w.checkin(&mut lead, 3.0);
+            w.checkin(&mut leader, 3.0);
         }
-        let suspects = lead.fleet.machines.values().filter(|m| m.suspect).count();
+        let suspects = leader.fleet.machines.values().filter(|m| m.suspect).count();
         assert_eq!(suspects, usize::from(!all));
-        store.settle(&mut lead, 3.5);
-        let again = lead.jobs.values().next().unwrap().bound;
+        store.settle(&mut leader, 3.5);
+        let again = leader.jobs.values().next().unwrap().bound;
         // A job that fails everywhere pauses; another goes on with the machines that are left.
         assert_eq!(again, if all { 0 } else { 4 });
     }
@@ -261,23 +261,23 @@
 fn a_pause_of_the_leader_is_no_silence_of_the_machines() {
     for (paused, expected) in [(true, 0), (false, 3)] {
         let mut store = FakeStore::default();
-        let mut lead = store.elect("n0", 0.0);
+        let mut leader = store.elect("n0", 0.0);
         let mut ws: Vec<FakeWorker> = (0..8)
             .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
             .collect();
         for w in &mut ws {
-            meet(w, &mut lead, 1.0);
+            meet(w, &mut leader, 1.0);
         }
         if paused {
             let (until, length_s) = (9.5, 8.0);
-            lead.note_pause(Pause { until, length_s });
+            leader.note_pause(Pause { until, length_s });
         }
         for w in &mut ws[3..] {
-            w.checkin(&mut lead, 9.5);
+            w.checkin(&mut leader, 9.5);
         }
-        lead.last_report = 9.5;
-        lead.tend(9.5);
-        assert_eq!(returned(&mut lead, 9.5).len(), expected);
+        leader.last_report = 9.5;
+        leader.tend(9.5);
+        assert_eq!(returned(&mut leader, 9.5).len(), expected);
     }
 }
 
@@ -286,19 +286,20 @@
 #[test]
 fn machines_returned_last_are_remembered_however_many_were() {
     let mut store = FakeStore::default();
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     for i in 0..17_000 {
         let names = vec![format!("i-{i}")];
-        lead.on_cloud(CloudCall::Delete(names), CloudAnswer::Deleted, 1.0);
+        leader.on_cloud(CloudCall::Delete(names), CloudAnswer::Deleted, 1.0);
     }
     for name in ["i-16999", "i-12000", "i-1000"] {
         let mut ghost = FakeWorker::new(name, "small", "north");
         assert!(
-            lead.on_report(&ghost.next(), Source::Checkin, 2.0)
+            leader
+                .on_report(&ghost.next(), Source::Checkin, 2.0)
                 .is_none()
         );
     }
-    assert!(lead.fleet.machines.is_empty());
+    assert!(leader.fleet.machines.is_empty());
 }
 
 /// Most of a fleet died at once, as in a wave that takes cheap machines. The leader took the silence
@@ -306,20 +307,20 @@
 #[test]
 fn machines_that_died_together_are_lost_in_the_end() {
     let mut store = FakeStore::default();
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut ws: Vec<FakeWorker> = (0..5)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
         .collect();
     for w in &mut ws {
-        meet(w, &mut lead, 1.0);
+        meet(w, &mut leader, 1.0);
     }
-    let after = 1.0 + 2.0 * lead.config.off_after_s();
+    let after = 1.0 + 2.0 * leader.config.off_after_s();
     let mut now = 1.0;
     while now < after + 3.0 {
-        ws[0].checkin(&mut lead, now);
-        lead.last_report = now;
-        lead.tend(now);
-        let gone = returned(&mut lead, now);
+        ws[0].checkin(&mut leader, now);
+        leader.last_report = now;
+        leader.tend(now);
+        let gone = returned(&mut leader, now);
         let expected = if now > after { 4 } else { 0 };
         assert_eq!(gone.len(), expected, "{now}: {gone:?}");
         now += 1.0;
--- a/src/tests/scenarios/order.rs
+++ b/src/tests/scenarios/order.rs
@@ -38,12 +38,12 @@
 fn urgent_large_work_makes_room_when_no_machine_can_be_had() {
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 4));
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut w = FakeWorker::new("i-1", "small", "north");
-    meet(&mut w, &mut lead, 1.0);
-    store.settle(&mut lead, 1.0);
-    w.checkin(&mut lead, 2.0);
-    w.checkin(&mut lead, 2.5);
+    meet(&mut w, &mut leader, 1.0);
+    store.settle(&mut leader, 1.0);
+    w.checkin(&mut leader, 2.0);
+    w.checkin(&mut leader, 2.5);
     assert_eq!(w.running().len(), 4);
     let mut urgent = gang("j-2", 1);
     urgent.priority = Priority::High;
@@ -51,24 +51,24 @@
     store.submit(&urgent);
     let view = store.view();
     let id = "j-2".into();
-    lead.enter_job(&id, &view.jobs["j-2"], 3.0);
+    leader.enter_job(&id, &view.jobs["j-2"], 3.0);
     let mut now = 3.0;
     while w.running() != ["j-2/0"] {
         now += 1.0;
         assert!(now < 20.0, "{:?}", w.running());
-        lead.tend(now);
-        returned(&mut lead, now);
-        store.settle(&mut lead, now);
-        w.checkin(&mut lead, now);
+        leader.tend(now);
+        returned(&mut leader, now);
+        store.settle(&mut leader, now);
+        w.checkin(&mut leader, now);
     }
     // What made way is not lost: it waits.
-    assert_eq!(lead.jobs[&lead.job_index("j-1").unwrap()].pending(), 4);
+    assert_eq!(leader.jobs[&leader.job_index("j-1").unwrap()].pending(), 4);
 }
 
 #[test]
 fn work_that_can_be_in_time_goes_before_work_that_is_late() {
     let mut store = FakeStore::default();
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let late = job("j-1", 1);
     let fresh = job("j-2", 1);
     store.submit(&late);
@@ -76,26 +76,26 @@
     let mut view = store.view();
     for (id, seen) in [("j-1", 1.0), ("j-2", 90.0)] {
         view.jobs.get_mut(id).unwrap().seen = Some(seen);
-        lead.enter_job(&id.into(), &view.jobs[id], 100.0);
+        leader.enter_job(&id.into(), &view.jobs[id], 100.0);
     }
-    let names = |lead: &Leader, now| -> Vec<String> {
-        let order = lead.order(now);
+    let names = |leader: &Leader, now| -> Vec<String> {
+        let order = leader.order(now);
         order
             .iter()
-            .map(|index| lead.jobs[index].id.to_string())
+            .map(|index| leader.jobs[index].id.to_string())
             .collect()
     };
-    assert_eq!(names(&lead, 100.0), ["j-2", "j-1"]);
+    assert_eq!(names(&leader, 100.0), ["j-2", "j-1"]);
     // Not for ever: late work becomes due again.
-    assert_eq!(names(&lead, 175.0), ["j-1", "j-2"]);
+    assert_eq!(names(&leader, 175.0), ["j-1", "j-2"]);
 }
 
 #[test]
 fn a_crowd_of_one_class_holds_back_that_class_only() {
     let mut store = FakeStore::default();
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut w = FakeWorker::new("i-1", "small", "north");
-    meet(&mut w, &mut lead, 1.0);
+    meet(&mut w, &mut leader, 1.0);
     for i in 0..200 {
         let mut one = job(&format!("j-{i}"), 50);
         one.class = "crowd".into();
@@ -106,14 +106,14 @@
     store.submit(&other);
     let view = store.view();
     for (id, stored) in &view.jobs {
-        lead.enter_job(id, stored, 2.0);
+        leader.enter_job(id, stored, 2.0);
     }
-    store.settle(&mut lead, 2.0);
-    let commands = w.checkin(&mut lead, 2.5);
+    store.settle(&mut leader, 2.0);
+    let commands = w.checkin(&mut leader, 2.5);
     assert_eq!(starts(&commands), 4);
     assert!(w.running().contains(&"j-900/0".to_string()));
     // Nothing is bound beyond what machines have room for.
-    let bound: u32 = lead.jobs.values().map(|j| j.bound).sum();
+    let bound: u32 = leader.jobs.values().map(|j| j.bound).sum();
     assert_eq!(bound, 4);
 }
 
@@ -121,14 +121,14 @@
 #[test]
 fn a_large_gang_is_not_starved_by_small_ones() {
     let mut store = FakeStore::default();
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut ws: Vec<FakeWorker> = (0..4)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
         .collect();
-    let enter = |store: &mut FakeStore, lead: &mut Leader, spec: Submission, now: f64| {
+    let enter = |store: &mut FakeStore, leader: &mut Leader, spec: Submission, now: f64| {
         store.submit(&spec);
         let stored = store.view().jobs[spec.id.as_str()].clone();
-        lead.enter_job(&spec.id.as_str().into(), &stored, now);
+        leader.enter_job(&spec.id.as_str().into(), &stored, now);
     };
     let only = |spec: Submission| Submission {
         types: Some(vec!["small".into()]),
@@ -145,18 +145,18 @@
             next += 1;
             enter(
                 &mut store,
-                &mut lead,
+                &mut leader,
                 only(gang(&format!("j-{next}"), 1)),
                 now,
             );
         }
         if next == 10 {
             // At 15 s.
-            enter(&mut store, &mut lead, only(gang("j-5000", 4)), now);
+            enter(&mut store, &mut leader, only(gang("j-5000", 4)), now);
         }
-        lead.tend(now);
-        returned(&mut lead, now);
-        store.settle(&mut lead, now);
+        leader.tend(now);
+        returned(&mut leader, now);
+        store.settle(&mut leader, now);
         // Each runs for six rounds, and they end one after the other.
         for (i, w) in ws.iter_mut().enumerate() {
             if (now / 3.0) as usize % 6 == i {
@@ -164,16 +164,16 @@
                     w.end(task, ExitReason::Done);
                 }
             }
-            w.checkin(&mut lead, now + 0.5);
+            w.checkin(&mut leader, now + 0.5);
         }
         let large = |w: &FakeWorker| w.running().iter().any(|t| t.starts_with("j-5000"));
         whole = ws.iter().all(large).then_some(now);
     }
 }
 
-fn order_of(lead: &Leader, now: f64) -> Vec<String> {
-    let order = lead.order(now);
-    let id = |index| lead.jobs[index].id.to_string();
+fn order_of(leader: &Leader, now: f64) -> Vec<String> {
+    let order = leader.order(now);
+    let id = |index| leader.jobs[index].id.to_string();
     order.iter().map(id).collect()
 }
 
@@ -194,8 +194,8 @@
         tasks: 40,
         ..deadline("j-4", Some(90.0))
     });
-    let mut lead = store.elect("n0", 0.0);
-    let mut config = (*lead.config).clone();
+    let mut leader = store.elect("n0", 0.0);
+    let mut config = (*leader.config).clone();
     config.deployment.objectives = [(1.0, 0.9), (1.5, 0.98)]
         .map(|(times, share)| Objective {
             kind: "deadline".into(),
@@ -205,14 +205,14 @@
             times: Some(times),
         })
         .into();
-    lead.config = Rc::new(config);
+    leader.config = Rc::new(config);
     let mut w = FakeWorker::new("i-1", "big", "north");
-    meet(&mut w, &mut lead, 0.5);
+    meet(&mut w, &mut leader, 0.5);
     // One without a deadline has nothing to be in time for; a large one is overtaken, but not by what
     // is due more than a minute later.
-    assert_eq!(order_of(&lead, 1.0), ["j-1", "j-3", "j-4", "j-2"]);
+    assert_eq!(order_of(&leader, 1.0), ["j-1", "j-3", "j-4", "j-2"]);
     // The first moment of j-3 has passed, the second has not.
-    assert_eq!(order_of(&lead, 80.0)[1], "j-3");
+    assert_eq!(order_of(&leader, 80.0)[1], "j-3");
 }
 
 fn with_image(id: &str, tasks: u32, image: &str) -> Submission {
@@ -224,10 +224,10 @@
 }
 
 /// The machines that tasks of a job are on.
-fn machines_of(lead: &Leader, id: &str) -> Vec<String> {
-    let index = lead.job_index(id).unwrap();
+fn machines_of(leader: &Leader, id: &str) -> Vec<String> {
+    let index = leader.job_index(id).unwrap();
     let on = |slots: &BTreeMap<SlotKey, _>| slots.keys().any(|k: &SlotKey| k.job == index);
-    let machines = lead.fleet.machines.values().filter(|m| on(&m.slots));
+    let machines = leader.fleet.machines.values().filter(|m| on(&m.slots));
     machines.map(|m| m.name.to_string()).collect()
 }
 
@@ -237,43 +237,43 @@
 fn tasks_go_where_their_image_is_or_comes_soon() {
     let mut store = FakeStore::default();
     store.submit(&with_image("j-1", 4, "img-a"));
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut ws: Vec<FakeWorker> = (0..4)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
         .collect();
     for w in &mut ws {
-        meet(w, &mut lead, 1.0);
+        meet(w, &mut leader, 1.0);
     }
-    store.settle(&mut lead, 1.0);
-    let first = machines_of(&lead, "j-1");
+    store.settle(&mut leader, 1.0);
+    let first = machines_of(&leader, "j-1");
     assert_eq!(first.len(), 1);
-    let run = |lead: &mut Leader, ws: &mut [FakeWorker], now: f64| {
+    let run = |leader: &mut Leader, ws: &mut [FakeWorker], now: f64| {
         for w in ws.iter_mut() {
-            w.checkin(lead, now);
-            w.checkin(lead, now);
+            w.checkin(leader, now);
+            w.checkin(leader, now);
         }
     };
     // Another image goes elsewhere, not behind the one that is being fetched.
-    let enter = |store: &mut FakeStore, lead: &mut Leader, spec: Submission, now: f64| {
+    let enter = |store: &mut FakeStore, leader: &mut Leader, spec: Submission, now: f64| {
         store.submit(&spec);
-        lead.enter_job(&spec.id.as_str().into(), &store.view().jobs[&*spec.id], now);
-        store.settle(lead, now);
+        leader.enter_job(&spec.id.as_str().into(), &store.view().jobs[&*spec.id], now);
+        store.settle(leader, now);
     };
-    enter(&mut store, &mut lead, with_image("j-2", 2, "img-b"), 2.0);
-    let second = machines_of(&lead, "j-2");
+    enter(&mut store, &mut leader, with_image("j-2", 2, "img-b"), 2.0);
+    let second = machines_of(&leader, "j-2");
     assert!(second.len() == 1 && second != first, "{second:?}");
-    run(&mut lead, &mut ws, 12.0);
+    run(&mut leader, &mut ws, 12.0);
     // The machine that has the image comes before others that are as empty, and emptier.
-    enter(&mut store, &mut lead, with_image("j-3", 1, "img-b"), 12.5);
-    assert_eq!(machines_of(&lead, "j-3"), second);
+    enter(&mut store, &mut leader, with_image("j-3", 1, "img-b"), 12.5);
+    assert_eq!(machines_of(&leader, "j-3"), second);
     // It is full but for two tasks; what finds no room waits a little rather than have the image
     // fetched once more, and does not wait for long.
-    enter(&mut store, &mut lead, with_image("j-4", 3, "img-b"), 13.0);
-    lead.tend(13.0);
-    let waits = |lead: &Leader| lead.jobs[&lead.job_index("j-4").unwrap()].pending();
-    assert!(waits(&lead) <= 2);
-    run(&mut lead, &mut ws, 22.0);
-    lead.tend(22.0);
-    store.settle(&mut lead, 22.0);
-    assert_eq!(waits(&lead), 0);
+    enter(&mut store, &mut leader, with_image("j-4", 3, "img-b"), 13.0);
+    leader.tend(13.0);
+    let waits = |leader: &Leader| leader.jobs[&leader.job_index("j-4").unwrap()].pending();
+    assert!(waits(&leader) <= 2);
+    run(&mut leader, &mut ws, 22.0);
+    leader.tend(22.0);
+    store.settle(&mut leader, 22.0);
+    assert_eq!(waits(&leader), 0);
 }
--- a/src/tests/scenarios/renting.rs
+++ b/src/tests/scenarios/renting.rs
@@ -13,11 +13,11 @@
 fn a_new_leader_rents_nothing_before_it_knows_what_is_there() {
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 40));
-    let mut lead = store.elect("n1", 100.0);
-    let rents = |lead: &mut Leader, now: f64, listed: &str| {
-        lead.tend(now);
+    let mut leader = store.elect("n1", 100.0);
+    let rents = |leader: &mut Leader, now: f64, listed: &str| {
+        leader.tend(now);
         let mut found = 0;
-        while let Some(call) = lead.next_cloud_call(now) {
+        while let Some(call) = leader.next_cloud_call(now) {
             let answer = match &call {
                 CloudCall::Rent(..) => {
                     found += 1;
@@ -28,27 +28,27 @@
                 }
                 _ => CloudAnswer::Failed,
             };
-            lead.on_cloud(call, answer, now);
+            leader.on_cloud(call, answer, now);
         }
         found
     };
     let machine = r#"[{"Uid":"i-1","Addr":"127.0.0.1:9","Rig":"big","Yard":"north","Loaner":false,
         "Status":"running","HeldS":300.0}]"#;
-    assert_eq!(rents(&mut lead, 100.0, machine), 0);
-    assert_eq!(rents(&mut lead, 101.0, machine), 0);
-    assert!(rents(&mut lead, 106.0, machine) > 0);
+    assert_eq!(rents(&mut leader, 100.0, machine), 0);
+    assert_eq!(rents(&mut leader, 101.0, machine), 0);
+    assert!(rents(&mut leader, 106.0, machine) > 0);
 
     // With nothing there at all, there is nothing to wait for.
-    let mut lead = store.elect("n2", 200.0);
-    assert_eq!(rents(&mut lead, 200.0, "[]"), 0);
-    assert!(rents(&mut lead, 201.0, "[]") > 0);
+    let mut leader = store.elect("n2", 200.0);
+    assert_eq!(rents(&mut leader, 200.0, "[]"), 0);
+    assert!(rents(&mut leader, 201.0, "[]") > 0);
     // Nor once the first machines of its own are coming: at a start the rest once waited for
     // reports that nobody made.
-    lead.fleet.enter("i-9", "north", 201.0);
+    leader.fleet.enter("i-9", "north", 201.0);
     store.submit(&job("j-2", 400));
     let stored = store.view().jobs["j-2"].clone();
-    lead.enter_job(&"j-2".into(), &stored, 201.5);
-    assert!(rents(&mut lead, 202.0, "[]") > 0);
+    leader.enter_job(&"j-2".into(), &stored, 201.5);
+    assert!(rents(&mut leader, 202.0, "[]") > 0);
 }
 
 /// Ten more requests once went to a pool after it had refused: other pools waited for as long.
@@ -58,12 +58,12 @@
     let mut large = job("j-1", 4000);
     large.types = Some(vec!["small".into()]);
     store.submit(&large);
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut asked = Vec::new();
     for step in 0..4 {
         let now = f64::from(step);
-        lead.tend(now);
-        while let Some(call) = lead.next_cloud_call(now) {
+        leader.tend(now);
+        while let Some(call) = leader.next_cloud_call(now) {
             let answer = match &call {
                 CloudCall::Rent(rent, _) if rent.zone == "north" => {
                     asked.push((now, rent.zone.clone()));
@@ -78,7 +78,7 @@
                 CloudCall::List { .. } => CloudAnswer::List(Vec::new(), false),
                 _ => CloudAnswer::Failed,
             };
-            lead.on_cloud(call, answer, now);
+            leader.on_cloud(call, answer, now);
         }
     }
     let count = |zone: &str| asked.iter().filter(|(_, z)| z == zone).count();
@@ -92,7 +92,7 @@
     for i in 1..=9 {
         store.submit(&job(&format!("j-{i}"), 1));
     }
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut ws = vec![FakeWorker::new("i-1", "small", "north")];
     let mut now = 0.0;
     while store.end("j-10").is_none() {
@@ -101,17 +101,17 @@
         if now == 150.0 {
             store.submit(&gang("j-10", 3));
             let id: Rc<str> = "j-10".into();
-            lead.enter_job(&id, &store.view().jobs[&id], now);
+            leader.enter_job(&id, &store.view().jobs[&id], now);
         }
         for w in &mut ws {
-            w.checkin(&mut lead, now);
+            w.checkin(&mut leader, now);
             for task in w.running() {
                 w.end(&task, ExitReason::Done);
             }
         }
-        lead.tend(now);
-        store.settle(&mut lead, now);
-        while let Some(call) = lead.next_cloud_call(now) {
+        leader.tend(now);
+        store.settle(&mut leader, now);
+        while let Some(call) = leader.next_cloud_call(now) {
             let answer = match &call {
                 CloudCall::Rent(rent, _) if rent.type_name == "small" => {
                     let first = ws.len() + 1;
@@ -132,7 +132,7 @@
                 }
                 CloudCall::Types => CloudAnswer::Failed,
             };
-            lead.on_cloud(call, answer, now);
+            leader.on_cloud(call, answer, now);
         }
     }
 }
@@ -147,18 +147,18 @@
             (spec.checkpoint_s, spec.save_s) = (30.0, 4.0);
         }
         store.submit(&spec);
-        let mut lead = store.elect("n0", 0.0);
+        let mut leader = store.elect("n0", 0.0);
         let mut ws: Vec<FakeWorker> = (0..2)
             .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
             .collect();
         for w in &mut ws {
-            meet(w, &mut lead, 1.0);
+            meet(w, &mut leader, 1.0);
         }
-        store.settle(&mut lead, 1.0);
+        store.settle(&mut leader, 1.0);
         let mut stops = Vec::new();
         for step in 0..300 {
             let now = 2.0 + f64::from(step) * 0.5;
-            lead.last_report = now;
+            leader.last_report = now;
             for w in &mut ws {
                 if step == 2 {
                     // All but one have ended.
@@ -166,15 +166,15 @@
                         w.end(task, ExitReason::Done);
                     }
                 }
-                for command in w.checkin(&mut lead, now) {
+                for command in w.checkin(&mut leader, now) {
                     if let Command::Stop { grace_s, .. } = command {
                         stops.push((w.report.machine.clone(), grace_s));
                     }
                 }
             }
-            lead.tend(now);
-            store.settle(&mut lead, now);
-            returned(&mut lead, now);
+            leader.tend(now);
+            store.settle(&mut leader, now);
+            returned(&mut leader, now);
         }
         if saves {
             // From one machine only, with time to save; the other takes it.
--- a/src/tests/scenarios/tasks.rs
+++ b/src/tests/scenarios/tasks.rs
@@ -12,15 +12,15 @@
 fn nothing_is_launched_before_its_intent_is_stored() {
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 2));
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut w = FakeWorker::new("i-1", "small", "north");
-    meet(&mut w, &mut lead, 1.0);
-    lead.plan(1.0);
-    assert_eq!(starts(&w.checkin(&mut lead, 1.5)), 0);
-    store.settle(&mut lead, 2.0);
-    assert_eq!(starts(&w.checkin(&mut lead, 2.5)), 2);
+    meet(&mut w, &mut leader, 1.0);
+    leader.plan(1.0);
+    assert_eq!(starts(&w.checkin(&mut leader, 1.5)), 0);
+    store.settle(&mut leader, 2.0);
+    assert_eq!(starts(&w.checkin(&mut leader, 2.5)), 2);
     // The answer was carried out; nothing is launched twice.
-    assert_eq!(starts(&w.checkin(&mut lead, 3.0)), 0);
+    assert_eq!(starts(&w.checkin(&mut leader, 3.0)), 0);
 }
 
 #[test]
@@ -110,11 +110,11 @@
 #[test]
 fn a_withdrawal_that_races_completion_has_one_outcome() {
     for user_first in [true, false] {
-        let (mut store, mut lead, mut w) = placed(&job("j-1", 1));
-        w.checkin(&mut lead, 2.5);
+        let (mut store, mut leader, mut w) = placed(&job("j-1", 1));
+        w.checkin(&mut leader, 2.5);
         w.end("j-1/0", ExitReason::Done);
-        w.checkin(&mut lead, 3.0);
-        let txn = lead.next_txn(3.0).unwrap();
+        w.checkin(&mut leader, 3.0);
+        let txn = leader.next_txn(3.0).unwrap();
         let end = EndRecord {
             end: End::Cancelled,
             done: 0,
@@ -124,20 +124,20 @@
             store.put(key::end("j-1"), &end);
         }
         let outcome = store.apply(&txn);
-        assert_eq!(lead.txn_done(outcome.clone(), 3.0), AfterTxn::Go);
+        assert_eq!(leader.txn_done(outcome.clone(), 3.0), AfterTxn::Go);
         let expected = if user_first {
             assert!(matches!(outcome, TxnOutcome::Conflict(_)));
-            lead.on_end("j-1", &end, 3.1);
+            leader.on_end("j-1", &end, 3.1);
             End::Cancelled
         } else {
             End::Done
         };
-        store.settle(&mut lead, 4.0);
+        store.settle(&mut leader, 4.0);
         assert_eq!(store.end("j-1"), Some(expected));
         // Off the machine, and cleared away but for its end.
-        w.checkin(&mut lead, 5.0);
-        w.checkin(&mut lead, 6.0);
-        store.settle(&mut lead, 7.0);
+        w.checkin(&mut leader, 5.0);
+        w.checkin(&mut leader, 6.0);
+        store.settle(&mut leader, 7.0);
         assert_eq!(w.report.tasks.len(), 0);
         assert!(!store.keys.contains_key(&key::job("j-1")));
         assert_eq!(store.end("j-1"), Some(expected));
@@ -146,8 +146,8 @@
 
 #[test]
 fn withdrawn_tasks_are_stopped_and_never_launched() {
-    let (mut store, mut lead, mut w) = placed(&job("j-1", 6));
-    w.checkin(&mut lead, 2.5);
+    let (mut store, mut leader, mut w) = placed(&job("j-1", 6));
+    w.checkin(&mut leader, 2.5);
     assert_eq!(w.running().len(), 4);
     let end = EndRecord {
         end: End::Cancelled,
@@ -155,12 +155,12 @@
         at_ms: None,
     };
     store.put(key::end("j-1"), &end);
-    lead.on_end("j-1", &end, 3.0);
-    let directs = lead.directs(3.0, 0.0, 10);
+    leader.on_end("j-1", &end, 3.0);
+    let directs = leader.directs(3.0, 0.0, 10);
     assert_eq!(directs.len(), 1);
     assert_eq!(directs[0].commands.len(), 4);
-    store.settle(&mut lead, 3.0);
-    assert_eq!(starts(&w.checkin(&mut lead, 4.0)), 0);
+    store.settle(&mut leader, 3.0);
+    assert_eq!(starts(&w.checkin(&mut leader, 4.0)), 0);
     assert_eq!(w.running().len(), 0);
 }
 
@@ -169,28 +169,28 @@
     for running in [false, true] {
         let mut store = FakeStore::default();
         store.submit(&gang("j-1", 2));
-        let mut lead = store.elect("n0", 0.0);
+        let mut leader = store.elect("n0", 0.0);
         let mut a = FakeWorker::new("i-1", "small", "north");
         let mut b = FakeWorker::new("i-2", "small", "south");
-        meet(&mut a, &mut lead, 1.0);
+        meet(&mut a, &mut leader, 1.0);
         // Not before all tasks have a place.
-        store.settle(&mut lead, 1.0);
-        assert_eq!(starts(&a.checkin(&mut lead, 1.5)), 0);
-        meet(&mut b, &mut lead, 2.0);
-        store.settle(&mut lead, 2.0);
-        assert_eq!(starts(&a.checkin(&mut lead, 2.5)), 1);
+        store.settle(&mut leader, 1.0);
+        assert_eq!(starts(&a.checkin(&mut leader, 1.5)), 0);
+        meet(&mut b, &mut leader, 2.0);
+        store.settle(&mut leader, 2.0);
+        assert_eq!(starts(&a.checkin(&mut leader, 2.5)), 1);
         if running {
-            assert_eq!(starts(&b.checkin(&mut lead, 2.5)), 1);
+            assert_eq!(starts(&b.checkin(&mut leader, 2.5)), 1);
         }
         // The second machine goes silent for longer than its worker's lease.
         let mut c = FakeWorker::new("i-3", "small", "south");
         let first = a.report.tasks[0].attempt;
         for i in 0..14 {
             let now = 3.0 + f64::from(i) * 3.0;
-            a.checkin(&mut lead, now);
-            meet(&mut c, &mut lead, now);
-            store.settle(&mut lead, now);
-            lead.expire(now);
+            a.checkin(&mut leader, now);
+            meet(&mut c, &mut leader, now);
+            store.settle(&mut leader, now);
+            leader.expire(now);
             // The rest of the old attempt is not joined by a new one.
             let attempts: Vec<u64> = a.report.tasks.iter().map(|t| t.attempt).collect();
             assert!(attempts.len() <= 1, "{attempts:?}");
@@ -236,14 +236,14 @@
     let mut standing = job("j-1", 1);
     standing.kind = Kind::Service;
     store.submit(&standing);
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut w = FakeWorker::new("i-1", "small", "north");
-    meet(&mut w, &mut lead, 1.0);
-    store.settle(&mut lead, 1.0);
-    w.checkin(&mut lead, 2.0);
+    meet(&mut w, &mut leader, 1.0);
+    store.settle(&mut leader, 1.0);
+    w.checkin(&mut leader, 2.0);
     w.end("j-1/0", ExitReason::Done);
-    w.checkin(&mut lead, 3.0);
-    store.settle(&mut lead, 4.0);
+    w.checkin(&mut leader, 3.0);
+    store.settle(&mut leader, 4.0);
     assert_eq!(store.end("j-1"), None);
-    assert_eq!(starts(&w.checkin(&mut lead, 4.5)), 1);
+    assert_eq!(starts(&w.checkin(&mut leader, 4.5)), 1);
 }
--- a/src/tests/scenarios/writes.rs
+++ b/src/tests/scenarios/writes.rs
@@ -13,27 +13,27 @@
     for applied in [true, false] {
         let mut store = FakeStore::default();
         store.submit(&job("j-1", 1));
-        let mut lead = store.elect("n0", 0.0);
+        let mut leader = store.elect("n0", 0.0);
         let mut w = FakeWorker::new("i-1", "small", "north");
-        meet(&mut w, &mut lead, 1.0);
-        lead.plan(2.0);
-        let txn = lead.next_txn(2.0).unwrap();
+        meet(&mut w, &mut leader, 1.0);
+        leader.plan(2.0);
+        let txn = leader.next_txn(2.0).unwrap();
         if applied {
             store.apply(&txn);
         }
-        assert_eq!(lead.txn_done(TxnOutcome::Unknown, 2.0), AfterTxn::Again);
+        assert_eq!(leader.txn_done(TxnOutcome::Unknown, 2.0), AfterTxn::Again);
         // Not known to be stored: not launched.
-        assert_eq!(starts(&w.checkin(&mut lead, 2.5)), 0);
-        let again = lead.next_txn(3.0).unwrap();
+        assert_eq!(starts(&w.checkin(&mut leader, 2.5)), 0);
+        let again = leader.next_txn(3.0).unwrap();
         let outcome = store.apply(&again);
-        match lead.txn_done(outcome, 3.0) {
+        match leader.txn_done(outcome, 3.0) {
             AfterTxn::ReadBack(key) => {
                 assert!(applied);
-                lead.read_back(store.keys[&key].1, 3.0);
+                leader.read_back(store.keys[&key].1, 3.0);
             }
             after => assert_eq!((after, applied), (AfterTxn::Go, false)),
         }
-        assert_eq!(starts(&w.checkin(&mut lead, 3.5)), 1);
+        assert_eq!(starts(&w.checkin(&mut leader, 3.5)), 1);
     }
 }
 
@@ -120,16 +120,16 @@
 fn placements_on_machines_with_long_names_take_several_values() {
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 140));
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     for i in 0..36 {
         let name = format!("i-{i}-{}", "x".repeat(300));
         let mut w = FakeWorker::new(&name, "small", "north");
-        meet(&mut w, &mut lead, 1.0);
+        meet(&mut w, &mut leader, 1.0);
     }
-    lead.plan(1.0);
+    leader.plan(1.0);
     let mut values = 0;
     let mut now = 1.0;
-    while let Some(txn) = lead.next_txn(now) {
+    while let Some(txn) = leader.next_txn(now) {
         for change in &txn.changes {
             let Change::Put { value, .. } = change else {
                 panic!("{change:?}");
@@ -138,7 +138,7 @@
             values += 1;
         }
         let outcome = store.apply(&txn);
-        assert_eq!(lead.txn_done(outcome, now), AfterTxn::Go);
+        assert_eq!(leader.txn_done(outcome, now), AfterTxn::Go);
         now += 1.0;
     }
     assert!(values > 1);
@@ -153,45 +153,45 @@
 #[test]
 fn the_log_of_many_jobs_takes_few_writes_and_keeps_what_is_needed() {
     let mut store = FakeStore::default();
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut ws: Vec<FakeWorker> = (0..8)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "big", "north"))
         .collect();
     for w in &mut ws {
-        meet(w, &mut lead, 0.5);
+        meet(w, &mut leader, 0.5);
     }
     // One long job that runs all the time, and many short ones.
     let mut long = job("j-9999", 4);
     long.class = "long".into();
     store.submit(&long);
-    let enter = |lead: &mut Leader, spec: Submission, now: f64| {
+    let enter = |leader: &mut Leader, spec: Submission, now: f64| {
         let id = spec.id.as_str().into();
         let mut stored = JobView::default();
         stored.spec = Some(Rc::new(spec));
-        lead.enter_job(&id, &stored, now);
+        leader.enter_job(&id, &stored, now);
     };
-    enter(&mut lead, long, 0.5);
+    enter(&mut leader, long, 0.5);
     let mut puts = 0;
     for round in 0..200 {
         let now = 1.0 + f64::from(round);
         for i in 0..5 {
             let id = format!("j-{}", round * 5 + i);
             store.submit(&job(&id, 8));
-            enter(&mut lead, job(&id, 8), now);
+            enter(&mut leader, job(&id, 8), now);
         }
-        lead.plan(now);
-        while let Some(txn) = lead.next_txn(now) {
+        leader.plan(now);
+        while let Some(txn) = leader.next_txn(now) {
             let run = |c: &&Change| matches!(c, Change::Put { key, .. } if key.contains("/run/"));
             puts += txn.changes.iter().filter(run).count();
             let outcome = store.apply(&txn);
-            assert_eq!(lead.txn_done(outcome, now), AfterTxn::Go);
+            assert_eq!(leader.txn_done(outcome, now), AfterTxn::Go);
         }
         for w in &mut ws {
-            w.checkin(&mut lead, now + 0.3);
+            w.checkin(&mut leader, now + 0.3);
             for task in w.running().iter().filter(|t| !t.starts_with("j-9999")) {
                 w.end(task, ExitReason::Done);
             }
-            w.checkin(&mut lead, now + 0.6);
+            w.checkin(&mut leader, now + 0.6);
         }
     }
     assert!(puts < 450, "{puts} values for 1000 jobs");
@@ -215,12 +215,12 @@
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 30));
     store.submit(&gang("j-2", 2));
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let mut config = crate::config::tests::sample();
     config.deployment.state.write_rps = 1.0;
     config.deployment.state.txn_ops = 1;
     config.deployment.state.value_kb = 1.0;
-    lead.config = Rc::new(config);
+    leader.config = Rc::new(config);
     let mut ws: Vec<FakeWorker> = (0..3)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
         .collect();
@@ -232,13 +232,13 @@
             for task in w.running() {
                 w.end(&task, ExitReason::Done);
             }
-            w.checkin(&mut lead, now);
+            w.checkin(&mut leader, now);
         }
-        lead.plan(now);
-        while let Some(txn) = lead.next_txn(now) {
+        leader.plan(now);
+        while let Some(txn) = leader.next_txn(now) {
             assert_eq!(txn.changes.len(), 1);
             let outcome = store.apply(&txn);
-            lead.txn_done(outcome, now);
+            leader.txn_done(outcome, now);
         }
     }
 }
@@ -257,22 +257,22 @@
         store.submit(&job(id, 40));
     }
     store.submit(&job("j-100", 1));
-    let mut lead = store.elect_with(config, "n0", 0.0);
+    let mut leader = store.elect_with(config, "n0", 0.0);
     let mut waited = None;
     for step in 0..800_u32 {
         let now = f64::from(step) * 0.05;
         for part in 0..2 {
             let id = &ids[(2 * step + part) as usize % ids.len()];
-            let key = (lead.job_index(id).unwrap(), step / 25, 1).into();
-            lead.on_task_done(key, None, now);
+            let key = (leader.job_index(id).unwrap(), step / 25, 1).into();
+            leader.on_task_done(key, None, now);
         }
         if step == 400 {
-            let key = (lead.job_index("j-100").unwrap(), 0, 1).into();
-            lead.on_task_done(key, None, now);
+            let key = (leader.job_index("j-100").unwrap(), 0, 1).into();
+            leader.on_task_done(key, None, now);
         }
-        if let Some(txn) = lead.next_txn(now) {
+        if let Some(txn) = leader.next_txn(now) {
             let outcome = store.apply(&txn);
-            assert_eq!(lead.txn_done(outcome, now), AfterTxn::Go);
+            assert_eq!(leader.txn_done(outcome, now), AfterTxn::Go);
         }
         if waited.is_none() && store.end("j-100").is_some() {
             waited = Some(now - 20.0);
--- a/src/tests/scenarios/zones.rs
+++ b/src/tests/scenarios/zones.rs
@@ -18,7 +18,7 @@
     let mut large = job("j-1", 200);
     large.types = Some(vec!["small".into()]);
     store.submit(&large);
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let worker = |i: usize, zone| FakeWorker::new(&format!("i-{i}"), "small", zone);
     let mut north: Vec<FakeWorker> = (0..14).map(|i| worker(i, "north")).collect();
     let mut south: Vec<FakeWorker> = (14..28).map(|i| worker(i, "south")).collect();
@@ -27,16 +27,16 @@
     for step in 0..120 {
         let now = 1.0 + f64::from(step);
         for w in &mut north {
-            w.checkin(&mut lead, now);
+            w.checkin(&mut leader, now);
         }
         if now < 20.0 {
             for w in &mut south {
-                w.checkin(&mut lead, now);
+                w.checkin(&mut leader, now);
             }
         }
-        lead.last_report = now;
-        lead.tend(now);
-        while let Some(call) = lead.next_cloud_call(now) {
+        leader.last_report = now;
+        leader.tend(now);
+        while let Some(call) = leader.next_cloud_call(now) {
             let answer = match &call {
                 CloudCall::Rent(rent, _) => {
                     if now > 24.0 && lost.is_empty() {
@@ -51,7 +51,7 @@
                 CloudCall::List { .. } => CloudAnswer::List(Vec::new(), false),
                 CloudCall::Types => CloudAnswer::Failed,
             };
-            lead.on_cloud(call, answer, now);
+            leader.on_cloud(call, answer, now);
         }
     }
     // They are kept for a while: most cuts end before others would be up in their place.
@@ -69,39 +69,39 @@
     spec.cpus = 6.0;
     spec.types = Some(vec!["small".into()]);
     store.submit(&spec);
-    let mut lead = store.elect("n0", 0.0);
+    let mut leader = store.elect("n0", 0.0);
     let worker = |i: usize, zone| FakeWorker::new(&format!("i-{i:02}"), "small", zone);
     let mut north: Vec<FakeWorker> = (0..14).map(|i| worker(i, "north")).collect();
     let mut south: Vec<FakeWorker> = (14..28).map(|i| worker(i, "south")).collect();
     for step in 0..40 {
         let now = f64::from(step) * 0.25;
         for w in north.iter_mut().chain(&mut south) {
-            w.checkin(&mut lead, now);
+            w.checkin(&mut leader, now);
         }
-        store.settle(&mut lead, now);
+        store.settle(&mut leader, now);
     }
-    assert_eq!(bound(&lead), 28);
-    hear(&mut store, &mut lead, &mut north, 10.0, 16.0);
-    (store, lead, north, south)
+    assert_eq!(bound(&leader), 28);
+    hear(&mut store, &mut leader, &mut north, 10.0, 16.0);
+    (store, leader, north, south)
 }
 
 /// Lets these workers alone be heard for some time.
-fn hear(store: &mut FakeStore, lead: &mut Leader, ws: &mut [FakeWorker], from: f64, to: f64) {
+fn hear(store: &mut FakeStore, leader: &mut Leader, ws: &mut [FakeWorker], from: f64, to: f64) {
     let mut now = from;
     while now < to {
         for w in ws.iter_mut() {
-            w.checkin(lead, now);
+            w.checkin(leader, now);
         }
-        lead.last_report = now;
-        lead.tend(now);
-        store.settle(lead, now);
-        returned(lead, now);
+        leader.last_report = now;
+        leader.tend(now);
+        store.settle(leader, now);
+        returned(leader, now);
         now += 0.5;
     }
 }
 
-fn bound(lead: &Leader) -> u32 {
-    lead.jobs.values().map(|j| j.bound).sum()
+fn bound(leader: &Leader) -> u32 {
+    leader.jobs.values().map(|j| j.bound).sum()
 }
 
 fn word(store: &FakeStore) -> Option<DelegationRecord> {
@@ -113,32 +113,32 @@
 /// once to be started elsewhere while they ran on. That ends a lease after the word was taken back.
 #[test]
 fn nothing_is_freed_for_silence_where_others_may_answer() {
-    let (mut store, mut lead, mut north, mut south) = cut();
+    let (mut store, mut leader, mut north, mut south) = cut();
     let given = word(&store).expect("no word");
     assert_eq!(
         (given.token, &*given.zone, given.over),
-        (lead.token, "south", false)
+        (leader.token, "south", false)
     );
-    hear(&mut store, &mut lead, &mut north, 16.0, 50.0);
-    assert_eq!(bound(&lead), 28);
+    hear(&mut store, &mut leader, &mut north, 16.0, 50.0);
+    assert_eq!(bound(&leader), 28);
     // One of the zone answers the leader again, and reports to it from then on.
     let report = south[0].next();
-    lead.on_report(&report, Source::Direct, 50.0);
+    leader.on_report(&report, Source::Direct, 50.0);
     north.push(south.remove(0));
-    hear(&mut store, &mut lead, &mut north, 50.2, 52.0);
+    hear(&mut store, &mut leader, &mut north, 50.2, 52.0);
     assert!(word(&store).unwrap().over);
-    let off = lead.config.off_after_s();
-    hear(&mut store, &mut lead, &mut north, 52.0, 50.0 + off);
-    assert_eq!(bound(&lead), 28);
+    let off = leader.config.off_after_s();
+    hear(&mut store, &mut leader, &mut north, 52.0, 50.0 + off);
+    assert_eq!(bound(&leader), 28);
     // What never came back is free then.
-    hear(&mut store, &mut lead, &mut north, 50.0 + off, 55.0 + off);
-    assert_eq!(bound(&lead), 15);
+    hear(&mut store, &mut leader, &mut north, 50.0 + off, 55.0 + off);
+    assert_eq!(bound(&leader), 15);
 }
 
 /// The word is written twice at the most, and a late copy of either write changes nothing.
 #[test]
 fn a_late_copy_of_a_word_neither_gives_nor_takes_it() {
-    let (mut store, mut lead, mut north, mut south) = cut();
+    let (mut store, mut leader, mut north, mut south) = cut();
     let (key, (record, _)) = store.view().delegations.into_iter().next().unwrap();
     let put = |record: &DelegationRecord| Change::Put {
         key: key.clone(),
@@ -148,14 +148,14 @@
     let condition = |key: String, version| Condition { key, version };
     let given = Txn {
         conditions: vec![
-            condition(key::leader(), lead.token),
+            condition(key::leader(), leader.token),
             condition(key.clone(), 0),
         ],
         changes: vec![put(&record)],
     };
     assert!(matches!(store.apply(&given), TxnOutcome::Conflict(_)));
-    lead.on_report(&south[0].next(), Source::Direct, 16.0);
-    hear(&mut store, &mut lead, &mut north, 16.2, 18.0);
+    leader.on_report(&south[0].next(), Source::Direct, 16.0);
+    hear(&mut store, &mut leader, &mut north, 16.2, 18.0);
     assert!(word(&store).unwrap().over);
     assert!(matches!(store.apply(&given), TxnOutcome::Conflict(_)));
     assert!(word(&store).unwrap().over);
@@ -173,12 +173,12 @@
 /// stayed bound as long.
 #[test]
 fn what_is_told_from_behind_a_cut_counts_once_whenever_it_comes() {
-    let (mut store, mut lead, mut north, mut south) = cut();
+    let (mut store, mut leader, mut north, mut south) = cut();
     let task = |w: &FakeWorker| w.running()[0].rsplit_once('/').unwrap().1.parse().unwrap();
     let done: u32 = task(&south[0]);
     let attempt = south[0].report.tasks[0].attempt;
     let record = RelayRecord {
-        token: lead.token,
+        token: leader.token,
         zone: "south".into(),
         jobs: vec![JobLog {
             id: "j-1".into(),
@@ -189,23 +189,23 @@
         sessions: vec![(south[1].report.machine.clone(), 2)],
     };
     for _ in 0..2 {
-        lead.on_relay(&record, 16.0);
-        let job = lead.jobs.values().next().unwrap();
+        leader.on_relay(&record, 16.0);
+        let job = leader.jobs.values().next().unwrap();
         assert_eq!((job.done, job.bound), (1, 26));
     }
     // The lost task runs elsewhere; a late copy does not free what the machine got since.
-    hear(&mut store, &mut lead, &mut north, 16.0, 18.0);
+    hear(&mut store, &mut leader, &mut north, 16.0, 18.0);
     south[1].report.session = 2;
     south[1].report.tasks.clear();
     for now in [18.0, 18.5, 19.0] {
-        south[1].checkin(&mut lead, now);
-        store.settle(&mut lead, now);
+        south[1].checkin(&mut leader, now);
+        store.settle(&mut leader, now);
     }
-    south[1].checkin(&mut lead, 19.5);
+    south[1].checkin(&mut leader, 19.5);
     assert_eq!(south[1].running().len(), 1);
-    let before = bound(&lead);
-    lead.on_relay(&record, 20.0);
-    assert_eq!(bound(&lead), before);
+    let before = bound(&leader);
+    leader.on_relay(&record, 20.0);
+    assert_eq!(bound(&leader), before);
     // Another tenure's words are not heeded.
     let mut next = store.elect("n1", 21.0);
     let was = bound(&next);
--- a/src/tests/state_limits.rs
+++ b/src/tests/state_limits.rs
@@ -122,13 +122,13 @@
 }
 
 /// Lets a leader write all that is due, within the limits.
-fn write(store: &mut FakeStore, lead: &mut Leader, meter: &mut Meter, now: Time) {
-    let limits = lead.config.deployment.state.clone();
-    while let Some(txn) = lead.next_txn(now) {
+fn write(store: &mut FakeStore, leader: &mut Leader, meter: &mut Meter, now: Time) {
+    let limits = leader.config.deployment.state.clone();
+    while let Some(txn) = leader.next_txn(now) {
         assert_fits(&txn, &limits);
         meter.take(txn.changes.len(), now);
         let outcome = store.apply(&txn);
-        assert_ne!(lead.txn_done(outcome, now), AfterTxn::Lost);
+        assert_ne!(leader.txn_done(outcome, now), AfterTxn::Lost);
     }
 }
 
@@ -170,7 +170,7 @@
             let txn = creation(&spec, UNIX_MS, &limits).expect("it fits");
             store.apply(&txn);
         }
-        let mut lead = store.elect_with(config_with(limits.clone()), "n0", 0.0);
+        let mut leader = store.elect_with(config_with(limits.clone()), "n0", 0.0);
         let open = |store: &FakeStore| ids.iter().any(|id| !store.keys.contains_key(&key::end(id)));
         let mut step = 0;
         while open(&store) {
@@ -178,11 +178,11 @@
             let now = f64::from(step) * STEP_S;
             assert!(now < 900.0, "seed {seed}: jobs never end");
             if step == 150 {
-                lead = store.elect_with(config_with(limits.clone()), "n1", now);
+                leader = store.elect_with(config_with(limits.clone()), "n1", now);
             }
             if step % 10 == 0 {
                 for w in &mut workers {
-                    w.checkin(&mut lead, now);
+                    w.checkin(&mut leader, now);
                     for task in w.running() {
                         if rng.random_bool(0.2) {
                             w.end(&task, ExitReason::Done);
@@ -192,12 +192,12 @@
                 let view = store.view();
                 for (id, known) in view.jobs.iter().filter(|(_, known)| !known.waits) {
                     if known.end.is_none() {
-                        lead.on_ready(id, now);
+                        leader.on_ready(id, now);
                     }
                 }
             }
-            lead.plan(now);
-            write(&mut store, &mut lead, &mut meter, now);
+            leader.plan(now);
+            write(&mut store, &mut leader, &mut meter, now);
         }
     }
 }
@@ -216,22 +216,22 @@
     let mut spec = job(&long_id(1), 100_000);
     (spec.cpus, spec.memory_gb) = (0.005, 0.005);
     store.submit(&spec);
-    let mut lead = store.elect_with(config_with(limits), "n0", 0.0);
+    let mut leader = store.elect_with(config_with(limits), "n0", 0.0);
     for w in &mut machines(10, 100) {
-        w.checkin(&mut lead, 1.0);
-        w.checkin(&mut lead, 1.0);
+        w.checkin(&mut leader, 1.0);
+        w.checkin(&mut leader, 1.0);
     }
     let mut meter = Meter {
         rate: 15.0,
         left: 15.0,
         at: 0.0,
     };
-    lead.plan(1.0);
+    leader.plan(1.0);
     let mut now = 1.0;
-    while lead.next_write_at().is_some() {
+    while leader.next_write_at().is_some() {
         now += STEP_S;
         assert!(now < 400.0, "never stored");
-        write(&mut store, &mut lead, &mut meter, now);
+        write(&mut store, &mut leader, &mut meter, now);
     }
     let view = store.view();
     let known = view.jobs[spec.id.as_str()].status(&spec.id);
--- a/src/tests/stored_formats.rs
+++ b/src/tests/stored_formats.rs
@@ -271,27 +271,27 @@
         ..job("j-3", 4)
     };
     store.submit(&after);
-    let mut lead = store.elect_with(config, "n0", 0.0);
+    let mut leader = store.elect_with(config, "n0", 0.0);
     let mut w = FakeWorker::new("i-1", "big", "north");
     let mut now = 1.0;
     for finished in ["j-1/0", "j-1/1", "", "", "", ""] {
         for _ in 0..3 {
             now += 1.0;
-            w.checkin(&mut lead, now);
-            store.settle(&mut lead, now);
+            w.checkin(&mut leader, now);
+            store.settle(&mut leader, now);
         }
         w.end(finished, ExitReason::Done);
     }
     for task in 0..6 {
         w.end(&format!("j-1/{task}"), ExitReason::Done);
     }
-    w.checkin(&mut lead, now + 1.0);
-    while let Some(txn) = lead.next_txn(now + 2.0) {
+    w.checkin(&mut leader, now + 1.0);
+    while let Some(txn) = leader.next_txn(now + 2.0) {
         let outcome = store.apply(&txn);
-        assert_ne!(lead.txn_done(outcome, now + 2.0), AfterTxn::Lost);
+        assert_ne!(leader.txn_done(outcome, now + 2.0), AfterTxn::Lost);
     }
-    lead.on_ready("j-3", now + 2.0);
-    store.settle(&mut lead, now + 4.0);
+    leader.on_ready("j-3", now + 2.0);
+    store.settle(&mut leader, now + 4.0);
     let ignored = ignored_by_production(&store);
     assert!(!ignored.is_empty() && ignored.iter().all(|k| k.contains("/needs/j-2/")));
     let families: BTreeMap<&str, usize> = store.keys.keys().fold(BTreeMap::new(), |mut n, key| {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -195,7 +195,7 @@
     #[serde(rename = "Status")]
     pub state: TaskState,
     #[serde(rename = "Cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
     #[serde(rename = "Saved", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
