--- /dev/null
+++ b/src/leader/failures.rs
@@ -0,0 +1,78 @@
+//! Whether a machine or a job is at fault when tasks fail.
+
+use super::*;
+
+/// First pause of a job whose tasks fail on several machines, in report intervals, and the most.
+const BACKOFF_REPORTS: f64 = 2.0;
+const BACKOFF_REPORTS_MAX: f64 = 40.0;
+/// Machines on which a job must fail before the job itself is at fault.
+const JOB_FAULT_MACHINES: usize = 3;
+/// Jobs that must fail in a row on a machine before it is set aside, or failures of a single job
+/// that fails nowhere else.
+const MACHINE_FAULT_JOBS: usize = 2;
+const MACHINE_FAULT_ERRORS: u32 = 3;
+/// So many tasks of a job that are sound, to one that fails, speak for the job.
+const SOUND_TASKS: u32 = 3;
+/// Pause of a machine after a failure, in report intervals.
+const COOL_REPORTS: f64 = 2.0;
+
+impl Leader {
+    /// A task failed on a machine: is it the machine or the job?
+    pub(crate) fn on_task_error(&mut self, index: JobIndex, machine: MachineIndex, now: Time) {
+        let report_s = self.config.deployment.workers.report_s;
+        let Some(job) = self.jobs.get_mut(&index) else {
+            return;
+        };
+        // A faulty job fails everywhere: where others of its tasks complete, it is the machine.
+        if !job.is_gang() && job.done >= SOUND_TASKS {
+            self.set_aside(machine);
+            return;
+        }
+        job.failed_on.insert(machine);
+        job.failed_now.insert(machine);
+        let failed_on = job.failed_on.len();
+        if failed_on >= JOB_FAULT_MACHINES {
+            job.backoff_s = (job.backoff_s * 2.0)
+                .max(report_s * BACKOFF_REPORTS)
+                .min(report_s * BACKOFF_REPORTS_MAX);
+            job.not_before = now + job.backoff_s;
+            return;
+        }
+        let Some(m) = self.fleet.machines.get_mut(&machine) else {
+            return;
+        };
+        m.errors += 1;
+        m.error_jobs.insert(index);
+        m.cool_until = now + report_s * COOL_REPORTS * f64::from(m.errors);
+        // One job's failures speak against a machine only while it fails nowhere else.
+        let at_fault = m.error_jobs.len() >= MACHINE_FAULT_JOBS
+            || (failed_on == 1 && m.errors >= MACHINE_FAULT_ERRORS);
+        if at_fault {
+            self.set_aside(machine);
+        }
+    }
+
+    /// All of a gang's attempt is off. If few of its tasks failed and the others only lost them, the
+    /// fault is with those machines: each would take down one large gang after the other.
+    pub(crate) fn judge_attempt(&mut self, index: JobIndex) {
+        let Some(job) = self.jobs.get_mut(&index).filter(|j| j.slots == 0) else {
+            return;
+        };
+        let failed = std::mem::take(&mut job.failed_now);
+        if failed.len() * SOUND_TASKS as usize > job.spec.tasks as usize {
+            return;
+        }
+        for machine in failed {
+            job.failed_on.remove(&machine);
+            if let Some(m) = self.fleet.machines.get_mut(&machine) {
+                m.set_aside();
+            }
+        }
+    }
+
+    pub(super) fn set_aside(&mut self, machine: MachineIndex) {
+        if let Some(m) = self.fleet.machines.get_mut(&machine) {
+            m.set_aside();
+        }
+    }
+}
