--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,6 +1,8 @@
 //! In which order jobs are placed, and on which machines each task is allowed. Which of those it
 //! gets is for the pricing rule to say.
 
+mod gangs;
+mod order;
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -14,14 +16,8 @@
 use crate::rt::Time;
 use crate::wire::{Priority, Submission};
 
-/// Run times of tasks vary: so much of the mean is reckoned with.
-const RUN_MARGIN: f64 = 1.3;
 /// The largest work is to begin within this time, the users say.
 pub(crate) const BEGIN_S: f64 = 240.0;
-/// In which part of that time machines are gathered for a gang, and after what part again.
-/// Earlier, the small gangs that wait meanwhile cost more than the large one gains.
-const GATHER: std::ops::Range<f64> = 0.75..1.5;
-const GATHER_AGAIN: f64 = 1.75;
 /// Holes are kept for tasks that take at most this part of a machine: others would leave too much
 /// of it unused for too long.
 const HOLE_SHARE_MAX: f64 = 0.125;
@@ -34,13 +30,6 @@
 const FETCH_PATIENCE: f64 = 0.2;
 /// An image to be fetched counts as so many times as far.
 const FETCH_WEIGHT: f64 = 2.0;
-/// A job that would take all machines for a second comes so many seconds later in the order.
-const SIZE_WEIGHT: f64 = 60.0;
-/// But not by more than this part of the time within which the largest are to begin: on a small fleet
-/// they would wait for ever.
-const SIZE_SHARE_MAX: f64 = 0.25;
-/// Work that missed its objectives is due after so many times the longest of them.
-const OVERDUE: f64 = 3.0;
 
 /// A machine as one placement pass sees it.
 struct Place {
@@ -217,113 +206,6 @@
             && m.cool_until <= now
     }
 
-    /// When a job must be placed to meet the next of its class's objectives that it still can meet.
-    ///
-    /// Work whose moment has passed makes way for work that can still be in time, but not for
-    /// ever: after a few times its longest objective it is due again.
-    fn due(&self, job: &Job, now: Time) -> Time {
-        let run_s = self.run_s(job) * RUN_MARGIN;
-        let team = &self.config.deployment.teams[job.team];
-        let guaranteed = team.cpus > 0.0 || team.gpus > 0.0;
-        let mut next = f64::INFINITY;
-        let mut longest: f64 = 0.0;
-        for o in &self.config.deployment.objectives {
-            let own = o.class.as_deref() == Some(&job.spec.class);
-            let (within, takes_s) = match (o.kind.as_str(), o.within_s) {
-                ("wait", Some(within)) if own => (within, 0.0),
-                ("guarantee", Some(within)) if guaranteed => (within, 0.0),
-                (kind, _) => match o.done_within(&job.spec) {
-                    // A deadline comes from its owner's estimate, which tells of this job.
-                    Some(within) if kind == "deadline" => {
-                        (within, (run_s * job.spec.estimate_s.max(0.0)).sqrt())
-                    }
-                    Some(within) => (within, run_s),
-                    None => continue,
-                },
-            };
-            longest = longest.max(within);
-            // An owner's deadline counts from the submission, however long the job waited.
-            let from = if o.kind == "deadline" {
-                job.submitted
-            } else {
-                job.since
-            };
-            let at = from + within - takes_s;
-            if at > now {
-                next = next.min(at);
-            }
-        }
-        let at = job.needed_by - run_s;
-        if at > now {
-            next = next.min(at);
-        }
-        next.min(job.since + longest * OVERDUE)
-    }
-
-    /// By how much a job comes later in the order for its size: where not all can be in time, the
-    /// same machines bring more small ones there.
-    fn size_s(&self, job: &Job, fleet_cpus: f64) -> f64 {
-        if job.is_gang() {
-            return 0.0;
-        }
-        let left = f64::from(job.spec.tasks - job.done) * job.spec.cpus * self.run_s(job);
-        (left / fleet_cpus.max(1.0) * SIZE_WEIGHT).min(BEGIN_S * SIZE_SHARE_MAX)
-    }
-
-    /// The jobs that wait, in the order in which they are placed: by priority, then gangs that
-    /// machines are gathered for, then those within
-    /// their team's guarantee, then by what is due first, then by age.
-    pub(crate) fn order(&self, now: Time) -> Vec<JobIndex> {
-        let teams = &self.config.deployment.teams;
-        // What each team's earlier unfinished jobs may use of its guarantee.
-        let mut claimed: HashMap<usize, Amount> = HashMap::new();
-        let guaranteed = teams.iter().any(|t| t.cpus > 0.0 || t.gpus > 0.0);
-        let mut within: HashMap<JobIndex, bool> = HashMap::new();
-        if guaranteed {
-            let mut unfinished: Vec<&Job> = Vec::new();
-            let mut ixs: Vec<(&JobIndex, &Job)> = self
-                .jobs
-                .iter()
-                .filter(|(_, j)| j.ended.is_none() && !j.waits)
-                .collect();
-            ixs.sort_by_key(|(_, j)| j.order);
-            unfinished.reserve(ixs.len());
-            for (index, job) in ixs {
-                let left = f64::from(job.spec.tasks - job.done);
-                let claim = claimed.entry(job.team).or_default();
-                *claim = claim.plus(job.amount().times(left));
-                let team = &teams[job.team];
-                let fits = |claim: f64, share: f64, own: f64| own <= 0.0 || claim <= share + 1e-6;
-                within.insert(
-                    *index,
-                    (team.cpus > 0.0 || team.gpus > 0.0)
-                        && fits(claim.cpus, team.cpus, job.spec.cpus)
-                        && fits(claim.gpus, team.gpus, job.spec.gpus),
-                );
-            }
-        }
-        let fleet: f64 = self.fleet.machines.values().map(|m| m.capacity.cpus).sum();
-        let mut order: Vec<(usize, bool, bool, i64, u64, JobIndex)> = self
-            .active
-            .iter()
-            .filter_map(|index| {
-                let job = self.jobs.get(index)?;
-                (job.not_before <= now).then(|| {
-                    (
-                        3 - rank(job.spec.priority),
-                        !self.gathers(job, now),
-                        !within.get(index).copied().unwrap_or(false),
-                        ((self.due(job, now) + self.size_s(job, fleet)) * 1000.0) as i64,
-                        job.order,
-                        *index,
-                    )
-                })
-            })
-            .collect();
-        order.sort_unstable();
-        order.into_iter().map(|(.., index)| index).collect()
-    }
-
     /// Places what it can of an array's tasks; whether machines had room for them.
     fn place_array(&mut self, index: JobIndex, places: &mut [Place], now: Time) -> Placed {
         let job = &self.jobs[&index];
@@ -355,53 +237,6 @@
         Placed::All
     }
 
-    /// All tasks of a gang are placed, or none; whether machines had room for all.
-    fn place_gang(&mut self, index: JobIndex, places: &mut [Place], now: Time) -> Placed {
-        let job = &self.jobs[&index];
-        // Tasks of the former attempt keep their machines and zones until they are off.
-        if job.bound > 0 || job.slots > 0 {
-            return Placed::All;
-        }
-        let spec = job.spec.clone();
-        let amount = job.amount();
-        if !self.team_allows(job.team, amount.times(f64::from(spec.tasks))) {
-            return Placed::All;
-        }
-        let mut only: Vec<Option<Rc<str>>> = vec![None];
-        if spec.one_zone {
-            let mut zones: Vec<Rc<str>> = places.iter().map(|p| p.zone.clone()).collect();
-            zones.sort_unstable();
-            zones.dedup();
-            only = zones.into_iter().map(Some).collect();
-        }
-        for zone in only {
-            let mut zones = Zones::new(&spec, HashMap::new());
-            let here = |p: &Place| zone.as_ref().is_none_or(|z| *z == p.zone);
-            let mut picker = self.picker(index, places, now, here);
-            let mut chosen = Vec::new();
-            while chosen.len() < spec.tasks as usize {
-                let Some(picked) = picker.pick(|at| zones.allow(&places[at].zone)) else {
-                    break;
-                };
-                zones.add(&places[picked.0].zone);
-                chosen.push(picked);
-            }
-            if chosen.len() < spec.tasks as usize {
-                continue;
-            }
-            let attempt = self.fresh_attempt();
-            for (at, after) in chosen {
-                let Some(task) = self.jobs.get_mut(&index).and_then(Job::take_pending) else {
-                    return Placed::All;
-                };
-                places[at].now = after;
-                self.bind_at(index, task, &places[at], attempt, now);
-            }
-            return Placed::All;
-        }
-        Placed::Full
-    }
-
     /// Keeps what is free on some machines, and too little for a task that waits, from all that comes
     /// later in this pass: as many as there are such tasks. Small tasks once took each hole that
     /// came free on a full fleet, and urgent ones that take a little more waited for minutes.
@@ -428,57 +263,6 @@
         }
     }
 
-    /// Whether a gang has waited so long that machines are gathered for it. Not for ever: one that
-    /// can't be placed then lets others go first for a while.
-    fn gathers(&self, job: &Job, now: Time) -> bool {
-        let waited = (now - job.since) / BEGIN_S;
-        job.is_gang() && GATHER.contains(&(waited % GATHER_AGAIN))
-    }
-
-    /// Keeps the room that a gang could use from all that comes later in this pass, if there are
-    /// machines enough for it in the end. Small gangs once took each large machine that came free,
-    /// and those of sixteen tasks waited for minutes.
-    fn keep_room(&self, index: JobIndex, places: &mut [Place], now: Time) -> bool {
-        let job = &self.jobs[&index];
-        let spec = &job.spec;
-        let amount = job.amount();
-        let suits = |type_index: usize, spot: bool, zone: &str, role: Role| {
-            type_allowed(spec, &self.types[type_index])
-                && (spec.spot || !spot)
-                && spec.zone.as_ref().is_none_or(|z| z == zone)
-                && (role == Role::Large || !self.is_large_on(amount, type_index))
-        };
-        let mut by_zone: HashMap<Rc<str>, usize> = HashMap::new();
-        for m in self.fleet.machines.values() {
-            let type_index = m.type_index.filter(|t| suits(*t, m.spot, &m.zone, m.role));
-            if type_index.is_some() && self.is_open(m, now) {
-                let fit = tasks_that_fit(amount, m.capacity) as usize;
-                *by_zone.entry(m.zone.clone()).or_insert(0) += fit;
-            }
-        }
-        let tasks = spec.tasks as usize;
-        let zone = if spec.one_zone {
-            let most = by_zone
-                .into_iter()
-                .max_by(|a, b| (a.1, &b.0).cmp(&(b.1, &a.0)));
-            match most.filter(|(_, fit)| *fit >= tasks) {
-                Some((zone, _)) => Some(zone),
-                None => return false,
-            }
-        } else if by_zone.values().sum::<usize>() < tasks {
-            return false;
-        } else {
-            None
-        };
-        for p in places.iter_mut() {
-            let room = p.now.capacity.minus(p.now.used);
-            let here = zone.as_ref().is_none_or(|z| *z == p.zone);
-            let suits = suits(p.type_index, p.spot, &p.zone, p.role);
-            p.kept = here && suits && amount.fits(room);
-        }
-        true
-    }
-
     fn bind_at(&mut self, index: JobIndex, task: u32, place: &Place, attempt: u64, now: Time) {
         self.bind(index, task, place.index, attempt, now);
         if let Some(m) = self.fleet.machines.get_mut(&place.index) {
--- a/src/tests/dependency_graphs.rs
+++ b/src/tests/dependency_graphs.rs
@@ -81,9 +81,9 @@
     // Pages of the store come in the order of names, which is not that of acceptance.
     numbers.shuffle(rng);
     let mut jobs: Vec<Generated> = Vec::new();
-    for at in 0..count {
+    for (at, number) in numbers.iter().enumerate() {
         let needs = draw_needs(rng, shape, at);
-        let id = format!("j-{}", numbers[at]);
+        let id = format!("j-{number}");
         let spec = Submission {
             class: id.clone(),
             priority: PRIORITIES[rng.random_range(0..3)],
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,9 +1,10 @@
 //! What the state service holds, as followed by every controller.
 
+mod records;
+pub use records::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
 use crate::graph::{Graph, JobOutcome, ReadinessChanges};
@@ -57,114 +58,6 @@
     }
 }
 
-/// Who leads.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct LeaderRecord {
-    pub host: String,
-    pub incarnation: u64,
-}
-
-/// A node's word that workers can't reach the leader who has this token.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct StepDownRequest {
-    pub token: u64,
-}
-
-/// The word of the leader who has this token that others may answer a zone's workers in its name,
-/// or that they may no longer.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct DelegationRecord {
-    pub token: u64,
-    pub zone: String,
-    pub over: bool,
-}
-
-/// Tasks that completed, as seen by a node that stands in for the leader who has this token.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RelayRecord {
-    pub token: u64,
-    pub zone: String,
-    pub jobs: Vec<JobLog>,
-    /// Machines, and the sessions in which their workers have seen that token.
-    #[serde(default)]
-    pub sessions: Vec<(String, u64)>,
-}
-
-/// A job as accepted. What earlier versions stored has no time, and they ignore it.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct JobRecord {
-    #[serde(flatten)]
-    pub spec: Submission,
-    /// Time of day, in milliseconds: a new leader counts deadlines from then.
-    #[serde(rename = "AtMs", default, skip_serializing_if = "Option::is_none")]
-    pub at_ms: Option<u64>,
-    /// Values under [`key::needs`] with the rest of the jobs that it waits on: a value's size is limited.
-    #[serde(rename = "Parts", default, skip_serializing_if = "is_none")]
-    pub parts: u32,
-}
-
-fn is_none(n: &u32) -> bool {
-    *n == 0
-}
-
-/// How a job ended.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
-    #[serde(rename = "done")]
-    Done,
-    #[serde(rename = "aborted")]
-    Cancelled,
-}
-
-/// The record of a job's end.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndRecord {
-    pub end: End,
-    /// How many tasks were done.
-    pub done: u32,
-    /// Time of day, in milliseconds, unless an earlier version wrote it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub at_ms: Option<u64>,
-}
-
-/// What became of tasks of many jobs, written compactly: much must fit into one value.
-#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct LogRecord {
-    /// The oldest value that still counts when this one is written. A cleared one may come back when
-    /// its transaction is carried out once more: what it says is then no longer so.
-    #[serde(rename = "o", default, skip_serializing_if = "is_zero")]
-    pub oldest: u64,
-    #[serde(rename = "z", default, skip_serializing_if = "Vec::is_empty")]
-    pub zones: Vec<String>,
-    /// Machines and the places of their zones in the list above.
-    #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
-    pub machines: Vec<(String, u32)>,
-    #[serde(rename = "j", default)]
-    pub jobs: Vec<JobLog>,
-}
-
-/// What became of tasks of a job: ranges of them, first one and how many.
-#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct JobLog {
-    #[serde(rename = "i")]
-    pub id: String,
-    /// The attempt of those that may be on a machine.
-    #[serde(rename = "a", default, skip_serializing_if = "is_zero")]
-    pub attempt: u64,
-    /// Tasks that may be on a machine, and its place in the record's list.
-    #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
-    pub bound: Vec<(u32, u32, u32)>,
-    #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
-    pub done: Vec<(u32, u32)>,
-    /// Tasks that are on no machine any more.
-    #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
-    pub free: Vec<(u32, u32)>,
-}
-
-fn is_zero(n: &u64) -> bool {
-    *n == 0
-}
-
 /// A machine's name and zone.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Place {
