--- a/src/assignment_log.rs
+++ b/src/assignment_log.rs
@@ -37,7 +37,7 @@
 pub struct Writer {
     pub record: LogRecord,
     /// The tasks told of.
-    pub told: Vec<(JobIndex, u32, Recorded)>,
+    pub recorded: Vec<(JobIndex, u32, Recorded)>,
     bytes: usize,
     limit: usize,
     machines: HashMap<MachineIndex, u32>,
@@ -53,7 +53,7 @@
     pub fn new(limit: usize) -> Self {
         Writer {
             record: LogRecord::default(),
-            told: Vec::new(),
+            recorded: Vec::new(),
             bytes: RECORD_PUNCTUATION,
             limit,
             machines: HashMap::new(),
@@ -63,7 +63,7 @@
 
     /// Whether nothing is told yet.
     pub fn is_empty(&self) -> bool {
-        self.told.is_empty()
+        self.recorded.is_empty()
     }
 
     /// Bytes so far, at the most.
@@ -148,7 +148,7 @@
                 }
             }
         }
-        self.told.push((index, task, told));
+        self.recorded.push((index, task, told));
         true
     }
 }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -5,6 +5,7 @@
 mod failures;
 mod job_lifecycle;
 mod writes;
+
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -24,6 +25,8 @@
 use crate::wire::{Change, Condition, MachineType, Submission, Txn};
 use crate::zones::Zones;
 
+use writes::{InFlight, PendingWrites};
+
 /// The name of a task: its job's id, a slash and its number.
 pub fn job_task(id: &str, task: u32) -> String {
     format!("{id}/{task}")
@@ -63,29 +66,6 @@
     Lost,
 }
 
-struct InFlight {
-    txn: Rc<Txn>,
-    /// Values of the log: their numbers, and the tasks they tell of.
-    told: Vec<(u64, TaskTold)>,
-    /// The oldest value of the log that counts from then on.
-    oldest: u64,
-    /// Old values of the log that go.
-    gone: Vec<u64>,
-    ends: Vec<JobIndex>,
-    cleared: Vec<JobIndex>,
-    /// Zones whose delegates it is about.
-    zones: Vec<Rc<str>>,
-}
-
-/// The tasks that a value of the log tells of, and what.
-type TaskTold = Vec<(JobIndex, u32, Recorded)>;
-
-/// Tasks of a job that the log doesn't tell of as they are, and when it should at the latest.
-struct PendingWrites {
-    due: Time,
-    tasks: Vec<u32>,
-}
-
 /// The state of a tenure.
 pub struct Leader {
     pub config: Rc<Config>,
@@ -106,7 +86,7 @@
     /// Something changed that a placement pass should look at.
     pub(crate) changed: bool,
     /// Jobs of which something is to be written.
-    dirty: BTreeMap<JobIndex, PendingWrites>,
+    pending_writes: BTreeMap<JobIndex, PendingWrites>,
     log: AssignmentLog,
     /// When a value of the log was last written.
     logged_at: Time,
@@ -164,7 +144,7 @@
             expected,
             cloud: CloudBook::new(now),
             changed: true,
-            dirty: BTreeMap::new(),
+            pending_writes: BTreeMap::new(),
             log: AssignmentLog::new(token, view.log.iter().copied(), view.oldest),
             logged_at: f64::NEG_INFINITY,
             end_next: false,
--- a/src/leader/job_lifecycle.rs
+++ b/src/leader/job_lifecycle.rs
@@ -39,50 +39,10 @@
         job.end_stored = stored.end.is_some();
         let index = self.next_job;
         self.next_job += 1;
-        let mut places = Vec::new();
-        for (task, (number, mark)) in &stored.tasks {
-            if !self.log.counts(*number) {
-                continue;
-            }
-            match mark {
-                Mark::Free => continue,
-                Mark::Done => job.complete(*task, *number),
-                Mark::On { place, attempt } => {
-                    places.push((*task, *number, place.clone(), *attempt));
-                }
-            }
-            self.log.enter(*number, index, *task);
-        }
-        let amount = job.amount();
         let ended = job.ended.is_some();
         self.by_id.insert(id.clone(), index);
         self.jobs.insert(index, job);
-        for (task, number, place, attempt) in places {
-            let machine = self.fleet.enter(&place.machine, &place.zone, now);
-            let key = SlotKey {
-                job: index,
-                task,
-                attempt,
-            };
-            if let Some(job) = self.jobs.get_mut(&index) {
-                job.bind(task, machine, attempt, number);
-            }
-            let slot = Slot {
-                amount,
-                inherited: true,
-                state: None,
-                sent: false,
-                direct: None,
-                stop: ended.then_some(0.0),
-                placed: now,
-                running_since: None,
-                over: false,
-            };
-            if let Some(m) = self.fleet.machines.get_mut(&machine) {
-                m.add_slot(key, slot);
-            }
-            self.slot_added(index);
-        }
+        self.inherit_tasks(index, stored, now);
         let job = &self.jobs[&index];
         if !ended && job.done == job.spec.tasks {
             self.finish(index, End::Done);
@@ -98,6 +58,56 @@
         Some(index)
     }
 
+    /// Takes over what the assignment log tells of a job's tasks.
+    fn inherit_tasks(&mut self, index: JobIndex, stored: &JobView, now: Time) {
+        for (task, (number, mark)) in &stored.tasks {
+            if !self.log.counts(*number) {
+                continue;
+            }
+            match mark {
+                Mark::Free => continue,
+                Mark::Done => {
+                    if let Some(job) = self.jobs.get_mut(&index) {
+                        job.complete(*task, *number);
+                    }
+                }
+                Mark::On { place, attempt } => {
+                    let machine = self.fleet.enter(&place.machine, &place.zone, now);
+                    let key = SlotKey {
+                        job: index,
+                        task: *task,
+                        attempt: *attempt,
+                    };
+                    self.inherit_assignment(machine, key, *number, now);
+                }
+            }
+            self.log.enter(*number, index, *task);
+        }
+    }
+
+    /// A task may be on a machine, by the value of the log with this number.
+    fn inherit_assignment(&mut self, machine: MachineIndex, key: SlotKey, number: u64, now: Time) {
+        let Some(job) = self.jobs.get_mut(&key.job) else {
+            return;
+        };
+        job.bind(key.task, machine, key.attempt, number);
+        let slot = Slot {
+            amount: job.amount(),
+            inherited: true,
+            state: None,
+            sent: false,
+            direct: None,
+            stop: job.ended.is_some().then_some(0.0),
+            placed: now,
+            running_since: None,
+            over: false,
+        };
+        if let Some(m) = self.fleet.machines.get_mut(&machine) {
+            m.add_slot(key, slot);
+        }
+        self.slot_added(key.job);
+    }
+
     /// All that a job waited for is stored as done. Only that lets it begin: this leader's own count is not
     /// enough, as a withdrawal may have come first.
     pub fn on_ready(&mut self, id: &str, now: Time) {
@@ -229,7 +239,7 @@
             job.ended = Some(end);
         }
         self.active.remove(&index);
-        self.dirty.remove(&index);
+        self.pending_writes.remove(&index);
         self.ends.insert(index);
     }
 
@@ -240,7 +250,7 @@
             && job.end_stored
             && job.slots == 0
         {
-            self.dirty.remove(&index);
+            self.pending_writes.remove(&index);
             self.settled.insert(index);
         }
     }
--- a/src/leader/writes.rs
+++ b/src/leader/writes.rs
@@ -17,6 +17,67 @@
 /// Part of a transaction's size that is used at the most.
 const TXN_BYTES: usize = 48 * 1024;
 
+/// Tasks of a job that the log doesn't tell of as they are, and when it should at the latest.
+pub(super) struct PendingWrites {
+    due: Time,
+    tasks: Vec<u32>,
+}
+
+/// The tasks that a value of the log tells of, and what.
+type RecordedTasks = Vec<(JobIndex, u32, Recorded)>;
+
+/// A transaction that is being made, or was sent, with what it is about.
+pub(super) struct Flight<T> {
+    txn: T,
+    /// Values of the log: their numbers, and the tasks they tell of.
+    recorded: Vec<(u64, RecordedTasks)>,
+    /// The oldest value of the log that counts from then on, if that is told.
+    oldest: Option<u64>,
+    /// Old values of the log that are deleted.
+    stale: Vec<u64>,
+    ends: Vec<JobIndex>,
+    cleared: Vec<JobIndex>,
+    /// Zones whose delegations it is about.
+    zones: Vec<Rc<str>>,
+}
+
+type Unsent = Flight<Txn>;
+pub(super) type InFlight = Flight<Rc<Txn>>;
+
+impl Unsent {
+    /// Nothing yet, on the condition that this token leads.
+    fn new(token: u64) -> Self {
+        let leads = Condition {
+            key: key::leader(),
+            version: token,
+        };
+        Flight {
+            txn: Txn {
+                conditions: vec![leads],
+                changes: Vec::new(),
+            },
+            recorded: Vec::new(),
+            oldest: None,
+            stale: Vec::new(),
+            ends: Vec::new(),
+            cleared: Vec::new(),
+            zones: Vec::new(),
+        }
+    }
+
+    fn sent(self) -> InFlight {
+        Flight {
+            txn: Rc::new(self.txn),
+            recorded: self.recorded,
+            oldest: self.oldest,
+            stale: self.stale,
+            ends: self.ends,
+            cleared: self.cleared,
+            zones: self.zones,
+        }
+    }
+}
+
 impl Leader {
     /// Tells that a task is no longer as the log says: to be written at once or, if others may join
     /// it, a little later.
@@ -34,12 +95,12 @@
             now + report_s * LAZY_WRITE_REPORTS
         };
         let tasks = Vec::new();
-        let dirty = self
-            .dirty
+        let pending = self
+            .pending_writes
             .entry(index)
             .or_insert(PendingWrites { due, tasks });
-        dirty.due = dirty.due.min(due);
-        dirty.tasks.push(task);
+        pending.due = pending.due.min(due);
+        pending.tasks.push(task);
     }
 
     /// The next transaction to send, if one is due; it stays the same until its outcome is told.
@@ -47,36 +108,61 @@
         if let Some(flight) = &self.in_flight {
             return Some(flight.txn.clone());
         }
-        let state = &self.config.deployment.state;
-        let rate = state.write_rps * self.write_share;
-        self.write_tokens =
-            (self.write_tokens + (now - self.write_refill) * rate).min(rate.max(1.0));
-        self.write_refill = now;
-        let txn_ops = (state.txn_ops >> self.limit_backoff).max(2);
+        self.refill_write_tokens(now);
+        let txn_ops = (self.config.deployment.state.txn_ops >> self.limit_backoff).max(2);
         let ops = (self.write_tokens as usize).min(txn_ops);
         if ops == 0 {
             return None;
         }
-        let mut txn = Txn {
-            conditions: vec![Condition {
-                key: key::leader(),
-                version: self.token,
-            }],
-            changes: Vec::new(),
-        };
-        let mut log_due = self.log_due_at().is_some_and(|at| at <= now);
+        let log_due = self.log_has_its_turn(ops, now);
+        let mut flight = Unsent::new(self.token);
+        let most = ops.saturating_sub(usize::from(log_due));
+        flight.zones = self.zones.write(
+            self.token,
+            most,
+            &mut flight.txn.conditions,
+            &mut flight.txn.changes,
+        );
+        self.write_ends(&mut flight, most, now)?;
+        if log_due {
+            self.write_log(&mut flight, ops, now)?;
+        }
+        // Clearing away is worth no write that anything else could use.
+        let spare = txn_ops.min(self.write_tokens as usize / 2);
+        self.clear_away(&mut flight, spare);
+        if flight.txn.changes.is_empty() {
+            return None;
+        }
+        self.write_tokens -= flight.txn.changes.len() as f64;
+        let flight = flight.sent();
+        let txn = flight.txn.clone();
+        self.in_flight = Some(flight);
+        Some(txn)
+    }
+
+    fn refill_write_tokens(&mut self, now: Time) {
+        let rate = self.config.deployment.state.write_rps * self.write_share;
+        let tokens = self.write_tokens + (now - self.write_refill) * rate;
+        self.write_tokens = tokens.min(rate.max(1.0));
+        self.write_refill = now;
+    }
+
+    /// Whether the log is written now, if so many changes may be made.
+    fn log_has_its_turn(&mut self, ops: usize, now: Time) -> bool {
+        let log_due = self.log_due_at().is_some_and(|at| at <= now);
         if ops == 1 && log_due && !self.ends.is_empty() {
             // One write is allowed and two are due: each has its turn. Under a low limit the log once took all
             // of them, and the ends of jobs, with those that wait on them, came a hundred seconds late.
             self.end_next = !self.end_next;
-            log_due = !self.end_next;
+            return !self.end_next;
         }
-        let most = ops.saturating_sub(usize::from(log_due));
-        let (conditions, changes) = (&mut txn.conditions, &mut txn.changes);
-        let zones = self.zones.write(self.token, most, conditions, changes);
-        let mut flight_ends = Vec::new();
+        log_due
+    }
+
+    /// Adds ends of jobs until there are `most` changes.
+    fn write_ends(&self, flight: &mut Unsent, most: usize, now: Time) -> Option<()> {
         for index in &self.ends {
-            if txn.changes.len() + usize::from(log_due) >= ops {
+            if flight.txn.changes.len() >= most {
                 break;
             }
             let job = &self.jobs[index];
@@ -85,78 +171,67 @@
                 done: job.done,
                 at_ms: self.unix_ms(now),
             };
-            txn.conditions.push(Condition {
+            flight.txn.conditions.push(Condition {
                 key: key::end(&job.id),
                 version: 0,
             });
-            txn.changes.push(put(key::end(&job.id), &record)?);
-            flight_ends.push(*index);
-        }
-        let mut writers = Vec::new();
-        if log_due {
-            writers = self.log_changes(ops - txn.changes.len(), now);
+            flight.txn.changes.push(put(key::end(&job.id), &record)?);
+            flight.ends.push(*index);
         }
+        Some(())
+    }
+
+    /// Adds values of the log until there are `ops` changes.
+    fn write_log(&mut self, flight: &mut Unsent, ops: usize, now: Time) -> Option<()> {
+        let mut writers = self.log_changes(ops - flight.txn.changes.len(), now);
         let mut oldest = self.log.oldest();
         if let Some(writer) = writers.last_mut() {
             let (from, learned) = self.retell(writer);
             oldest = from;
-            for (needed, told) in learned {
-                self.log.learn(needed, told);
+            for (needed, recorded) in learned {
+                self.log.learn(needed, recorded);
             }
         }
-        // Clearing away is worth no write that anything else could use.
-        let spare = txn_ops.min(self.write_tokens as usize / 2);
-        let used = txn.changes.len() + writers.len();
-        let gone = self.log.stale(spare.saturating_sub(used).min(CLEARED_MAX));
-        let mut told = Vec::new();
         for mut writer in writers {
             writer.record.oldest = oldest;
             let number = self.log.number();
-            txn.conditions.push(Condition {
+            flight.txn.conditions.push(Condition {
                 key: key::run(number),
                 version: 0,
             });
-            txn.changes.push(put(key::run(number), &writer.record)?);
-            told.push((number, writer.told));
-        }
-        if !told.is_empty() {
+            flight
+                .txn
+                .changes
+                .push(put(key::run(number), &writer.record)?);
+            flight.recorded.push((number, writer.recorded));
             self.logged_at = now;
         }
-        for number in &gone {
+        flight.oldest = Some(oldest);
+        Some(())
+    }
+
+    /// Adds deletions of what nobody needs any more until there are `most` changes.
+    fn clear_away(&mut self, flight: &mut Unsent, most: usize) {
+        let changes = &mut flight.txn.changes;
+        let stale = most.saturating_sub(changes.len()).min(CLEARED_MAX);
+        flight.stale = self.log.stale(stale);
+        for number in &flight.stale {
             let key = key::run(*number);
-            txn.changes.push(Change::Delete { key });
+            changes.push(Change::Delete { key });
         }
-        let mut cleared = Vec::new();
         for index in &self.settled {
-            if txn.changes.len() >= spare {
+            if changes.len() >= most {
                 break;
             }
-            txn.changes.push(Change::Delete {
+            changes.push(Change::Delete {
                 key: key::job(&self.jobs[index].id),
             });
-            cleared.push(*index);
+            flight.cleared.push(*index);
         }
-        for key in self
-            .zones
-            .take_stale(spare.saturating_sub(txn.changes.len()))
-        {
-            txn.changes.push(Change::Delete { key });
+        let left = most.saturating_sub(changes.len());
+        for key in self.zones.take_stale(left) {
+            changes.push(Change::Delete { key });
         }
-        if txn.changes.is_empty() {
-            return None;
-        }
-        self.write_tokens -= txn.changes.len() as f64;
-        let txn = Rc::new(txn);
-        self.in_flight = Some(InFlight {
-            txn: txn.clone(),
-            told,
-            oldest,
-            gone,
-            ends: flight_ends,
-            cleared,
-            zones,
-        });
-        Some(txn)
     }
 
     /// Fills values of the log, `most` at the most, with what is due; what isn't yet takes the room
@@ -164,26 +239,29 @@
     pub(super) fn log_changes(&mut self, most: usize, now: Time) -> Vec<Writer> {
         let value_max =
             (self.config.deployment.state.value_kb * 1024.0) as usize >> self.limit_backoff;
-        let mut order: Vec<(Time, JobIndex)> =
-            self.dirty.iter().map(|(k, d)| (d.due, *k)).collect();
+        let mut order: Vec<(Time, JobIndex)> = self
+            .pending_writes
+            .iter()
+            .map(|(k, d)| (d.due, *k))
+            .collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut full: Vec<Writer> = Vec::new();
         let mut writer = Writer::new(value_max);
         'jobs: for (due, index) in order {
-            let Some(mut dirty) = self.dirty.remove(&index) else {
+            let Some(mut pending) = self.pending_writes.remove(&index) else {
                 continue;
             };
             let Some(job) = self.jobs.get(&index).filter(|j| j.ended.is_none()) else {
                 continue;
             };
-            dirty.tasks.sort_unstable();
-            dirty.tasks.dedup();
+            pending.tasks.sort_unstable();
+            pending.tasks.dedup();
             let fleet = &self.fleet;
             let place = |m| {
                 let m = fleet.machines.get(&m)?;
                 Some((&*m.name, &*m.zone))
             };
-            for (at, task) in dirty.tasks.iter().enumerate() {
+            for (at, task) in pending.tasks.iter().enumerate() {
                 if writer.add(index, job, *task, place) {
                     continue;
                 }
@@ -200,8 +278,8 @@
                     tracing::error!("{}/{task}: too large to store", job.id);
                     continue;
                 }
-                dirty.tasks.drain(..at);
-                self.dirty.insert(index, dirty);
+                pending.tasks.drain(..at);
+                self.pending_writes.insert(index, pending);
                 break 'jobs;
             }
         }
@@ -252,7 +330,11 @@
     /// write of its own.
     pub(super) fn log_due_at(&self) -> Option<Time> {
         let gap = LOG_WRITES / (self.config.deployment.state.write_rps * LEADER_WRITE_SHARE);
-        let first = self.dirty.values().map(|d| d.due).min_by(f64::total_cmp);
+        let first = self
+            .pending_writes
+            .values()
+            .map(|d| d.due)
+            .min_by(f64::total_cmp);
         first.map(|due| due.max(self.logged_at + gap))
     }
 
@@ -324,7 +406,11 @@
         for zone in &flight.zones {
             self.zones.stored(zone, None, now);
         }
-        for (index, task, _) in flight.told.into_iter().flat_map(|(_, told)| told) {
+        for (index, task, _) in flight
+            .recorded
+            .into_iter()
+            .flat_map(|(_, recorded)| recorded)
+        {
             self.mark_pending_write(index, task, true, now);
         }
     }
@@ -343,8 +429,8 @@
         for zone in &flight.zones {
             self.zones.stored(zone, Some(revision), now);
         }
-        for (number, told) in flight.told {
-            for (index, task, what) in told {
+        for (number, recorded) in flight.recorded {
+            for (index, task, what) in recorded {
                 if let Some(job) = self.jobs.get_mut(&index) {
                     job.stored(task, what, number);
                     self.log.enter(number, index, task);
@@ -354,8 +440,10 @@
                 }
             }
         }
-        self.log.forget_before(flight.oldest);
-        for number in flight.gone {
+        if let Some(oldest) = flight.oldest {
+            self.log.forget_before(oldest);
+        }
+        for number in flight.stale {
             self.log.cleared(number);
         }
         for index in flight.ends {
