--- a/src/autoscale.rs
+++ b/src/autoscale.rs
@@ -218,6 +218,17 @@
     rent: f64,
 }
 
+impl Demand {
+    /// Machines of any kind for all of so many tasks.
+    fn of_all(tasks: f64) -> Self {
+        Demand {
+            full: tasks,
+            lean: tasks,
+            rent: tasks,
+        }
+    }
+}
+
 /// A machine in the eyes of the sizing: there, coming, or to be rented.
 pub(crate) struct Unit {
     pub(crate) index: Option<MachineIndex>,
@@ -256,6 +267,40 @@
 
     /// Decides which machines are needed, rents what lacks and lets go of what is too many.
     fn size(&mut self, now: Time) {
+        self.count_tasks(now);
+        let mut units = self.units(now);
+        let mut rents = Rents::new();
+        self.cover_exceptions(&mut units, &mut rents, now);
+        let classes = self.classes_in_order();
+        let there = self.pool_counts();
+        for class in &classes {
+            let demand = self.want(class, now);
+            tracing::debug!(
+                "{}: {} wait, {} run, {:.0} s each; wanted {demand:?}",
+                class.spec.class,
+                class.pending,
+                class.bound,
+                class.run_s()
+            );
+            self.cover(class, demand, &mut units, &there, &mut rents, now);
+        }
+        self.assign_roles(&units);
+        for class in classes.iter().filter(|c| c.pending > 0.0) {
+            if self.is_large_class(class) {
+                self.make_room(class, &units, now);
+            }
+        }
+        self.scale_down(&units, now);
+        if tracing::enabled!(tracing::Level::DEBUG) {
+            self.log_fleet();
+        }
+        if self.cloud.rents.is_empty() && self.knows_fleet(now) {
+            self.queue_rents(rents);
+        }
+    }
+
+    /// Counts the tasks of each class that wait and run, and how long they may take.
+    fn count_tasks(&mut self, now: Time) {
         for class in self.classes.values_mut() {
             class.pending = 0.0;
             class.bound = 0.0;
@@ -276,94 +321,70 @@
             let expected = class.estimate_s.get().unwrap_or(1.0);
             class.run_s = (run_s * seen + expected * RUNS_MIN) / (seen + RUNS_MIN);
         }
-        let mut units = self.units(now);
-        let mut rents = Rents::new();
+    }
+
+    /// Finds machines for jobs that the means of their classes don't fit, and takes them off those classes.
+    fn cover_exceptions(&mut self, units: &mut Vec<Unit>, rents: &mut Rents, now: Time) {
         let there = self.pool_counts();
-        for (name, own) in self.overlooked(&units, now) {
+        for (name, own) in self.overlooked(units, now) {
             if let Some(class) = self.classes.get_mut(&*name) {
                 class.pending -= own.pending;
             }
-            let (tasks, class) = (own.pending, &own);
-            let want = Demand {
-                full: tasks,
-                lean: tasks,
-                rent: tasks,
-            };
-            self.cover(class, want, &mut units, &there, &mut rents, now);
+            let demand = Demand::of_all(own.pending);
+            self.cover(&own, demand, units, &there, rents, now);
         }
         for (name, steps) in self.steps_with_deadline() {
             let tasks = steps.pending + steps.bound;
-            let want = Demand {
-                full: tasks,
-                lean: tasks,
-                rent: tasks,
-            };
-            let left = self.cover(&steps, want, &mut units, &there, &mut rents, now);
+            let left = self.cover(&steps, Demand::of_all(tasks), units, &there, rents, now);
             if let Some(class) = self.classes.get_mut(&*name) {
                 class.take_off(tasks - left.full.max(0.0));
             }
         }
+    }
+
+    /// Work that takes most of a machine chooses first, then what has least choice.
+    fn classes_in_order(&self) -> Vec<Class> {
         let mut classes: Vec<Class> = self.classes.values().cloned().collect();
-        // Work that takes most of a machine chooses first, then what has least choice.
         classes.sort_by_key(|c| {
             let large = self.is_large_class(c);
             let kinds = self.kinds(&c.spec).len();
             (!large, kinds, c.spec.class.clone())
         });
-        for class in &classes {
-            let want = self.want(class, now);
-            tracing::debug!(
-                "{}: {} wait, {} run, {:.0} s each; wanted {want:?}",
-                class.spec.class,
-                class.pending,
-                class.bound,
-                class.run_s()
-            );
-            self.cover(class, want, &mut units, &there, &mut rents, now);
-        }
-        for unit in &units {
-            let Some(m) = unit
-                .index
-                .and_then(|index| self.fleet.machines.get_mut(&index))
-            else {
+        classes
+    }
+
+    /// Notes for which sort of work each machine is kept.
+    fn assign_roles(&mut self, units: &[Unit]) {
+        for unit in units.iter().filter(|u| u.taken) {
+            let Some(m) = unit.index.and_then(|i| self.fleet.machines.get_mut(&i)) else {
                 continue;
             };
-            if unit.taken {
-                m.draining = false;
-                // Small tasks on a machine that is wanted for large work run out there.
-                m.role = if unit.large {
-                    Role::Large
-                } else {
-                    Role::Shared
-                };
-            }
-        }
-        for class in classes.iter().filter(|c| c.pending > 0.0) {
-            if self.is_large_class(class) {
-                self.make_room(class, &units, now);
-            }
-        }
-        self.scale_down(&units, now);
-        if tracing::enabled!(tracing::Level::DEBUG) {
-            self.log_fleet();
+            m.draining = false;
+            // Small tasks on a machine that is wanted for large work run out there.
+            m.role = if unit.large {
+                Role::Large
+            } else {
+                Role::Shared
+            };
         }
-        if self.cloud.rents.is_empty() && self.knows_fleet(now) {
-            for ((pool, role), count) in rents {
-                let mut left = count;
-                while left > 0 {
-                    let count = left.min(RENT_MAX);
-                    left -= count;
-                    self.cloud.next_request += 1;
-                    let rent = Rent {
-                        request: format!("r-{}-{}", self.token, self.cloud.next_request),
-                        type_name: self.types[pool.type_index].name.clone(),
-                        zone: pool.zone.to_string(),
-                        spot: pool.spot,
-                        count,
-                    };
-                    tracing::info!("renting {rent:?}");
-                    self.cloud.rents.push_back((rent, role));
-                }
+    }
+
+    fn queue_rents(&mut self, rents: Rents) {
+        for ((pool, role), count) in rents {
+            let mut left = count;
+            while left > 0 {
+                let count = left.min(RENT_MAX);
+                left -= count;
+                self.cloud.next_request += 1;
+                let rent = Rent {
+                    request: format!("r-{}-{}", self.token, self.cloud.next_request),
+                    type_name: self.types[pool.type_index].name.clone(),
+                    zone: pool.zone.to_string(),
+                    spot: pool.spot,
+                    count,
+                };
+                tracing::info!("renting {rent:?}");
+                self.cloud.rents.push_back((rent, role));
             }
         }
     }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -313,6 +313,42 @@
         }
     }
 
+    /// Takes over what a report tells of the machine itself.
+    fn describe(&mut self, report: &Report, kind: Option<(usize, Amount)>) {
+        self.addr = report.addr.parse().ok().or(self.addr);
+        if *self.zone != *report.zone {
+            self.zone = report.zone.as_str().into();
+        }
+        self.spot = report.spot;
+        if let Some((type_index, capacity)) = kind {
+            self.type_index = Some(type_index);
+            self.capacity = capacity;
+        }
+    }
+
+    /// A report that is newer than all before it.
+    fn hear(&mut self, report: &Report, source: Source, now: Time) {
+        if report.session > self.session {
+            // Direct messages to an earlier session are refused from now on.
+            self.kept.clear();
+            for slot in self.slots.values_mut().filter(|s| s.in_doubt()) {
+                slot.direct = None;
+            }
+        }
+        if source == Source::Checkin && self.answered_before {
+            self.note_hearing(report, now);
+        }
+        self.session = report.session;
+        self.seq = report.seq;
+        self.token = self.token.max(report.token);
+        self.heard = Some(now);
+        self.met.get_or_insert(now);
+        if source == Source::Checkin {
+            self.reported = Some(now);
+        }
+        self.notice = report.notice_s.map(|s| now + s);
+    }
+
     /// Tasks fail there: it gets nothing more and is returned.
     pub(crate) fn set_aside(&mut self) {
         if !self.suspect {
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -1,6 +1,7 @@
 //! What a machine's report tells: what runs there, what ended, what is gone.
 
 use super::*;
+use crate::wire::ReportTask;
 
 impl Leader {
     /// Takes in a report; returns what its answer should carry in any case, None if it tells nothing
@@ -27,17 +28,7 @@
             .is_some_and(|m| self.is_open(m, now));
         let m = self.fleet.machines.get_mut(&index)?;
         let before = (m.used, m.suspect);
-        m.addr = report.addr.parse().ok().or(m.addr);
-        m.zone = if *m.zone == *report.zone {
-            m.zone.clone()
-        } else {
-            report.zone.as_str().into()
-        };
-        m.spot = report.spot;
-        if let (Some(t), Some(capacity)) = (type_index, capacity) {
-            m.type_index = Some(t);
-            m.capacity = capacity;
-        }
+        m.describe(report, type_index.zip(capacity));
         m.answered_before = m.answered.is_some();
         if source == Source::Checkin {
             m.answered = Some(now);
@@ -47,76 +38,18 @@
         if (report.session, report.seq) <= (m.session, m.seq) {
             return None;
         }
-        if report.session > m.session {
-            // Direct messages to an earlier session are refused from now on.
-            m.kept.clear();
-            for slot in m.slots.values_mut().filter(|s| s.in_doubt()) {
-                slot.direct = None;
-            }
-        }
-        if source == Source::Checkin && m.answered_before {
-            m.note_hearing(report, now);
-        }
-        m.session = report.session;
-        m.seq = report.seq;
-        m.token = m.token.max(report.token);
+        m.hear(report, source, now);
         self.zones.heard.insert(m.zone.clone(), now);
-        m.heard = Some(now);
-        m.met.get_or_insert(now);
-        if source == Source::Checkin {
-            m.reported = Some(now);
-        }
-        m.notice = report.notice_s.map(|s| now + s);
         let fenced = report.token >= self.token;
         if fenced {
             m.fenced_session = m.fenced_session.max(Some(report.session));
         }
-
         let mut seen = HashSet::with_capacity(report.tasks.len());
         let mut commands = Vec::new();
         for t in &report.tasks {
-            let Some((id, task)) = split_task(&t.task) else {
-                continue;
-            };
-            let known = self
-                .job_index(id)
-                .filter(|j| task < self.jobs[j].spec.tasks)
-                .map(|job| SlotKey {
-                    job,
-                    task,
-                    attempt: t.attempt,
-                });
-            if let Some(key) = known {
-                seen.insert(key);
-            }
-            if t.state == TaskState::Exited {
-                let forget = match known {
-                    Some(key) => self.on_exit(
-                        index,
-                        key,
-                        t.exit_reason.unwrap_or(ExitReason::Other),
-                        fenced,
-                        now,
-                    ),
-                    None => fenced,
-                };
-                let kept = |m: &Machine| m.kept.contains(&(t.task.clone(), t.attempt));
-                if forget && !self.fleet.machines.get(&index).is_some_and(kept) {
-                    commands.push(Command::Forget {
-                        task: t.task.clone(),
-                        attempt: t.attempt,
-                    });
-                }
-            } else if let Some(key) = known {
-                self.on_alive(index, key, t.state, now);
-            } else {
-                // Of a job that is over and forgotten.
-                commands.push(Command::Stop {
-                    task: t.task.clone(),
-                    attempt: t.attempt,
-                    grace_s: 0.0,
-                });
-            }
+            let key = self.slot_key(t);
+            seen.extend(key);
+            commands.extend(self.on_task(index, t, key, fenced, now));
         }
         self.on_absent(index, &seen, source, fenced, now);
         self.heed_notice(index, now);
@@ -132,6 +65,54 @@
         Some(commands)
     }
 
+    /// The attempt that a report tells of, if its job is known.
+    fn slot_key(&self, reported: &ReportTask) -> Option<SlotKey> {
+        let (id, task) = split_task(&reported.task)?;
+        let job = self.job_index(id)?;
+        (task < self.jobs[&job].spec.tasks).then_some(SlotKey {
+            job,
+            task,
+            attempt: reported.attempt,
+        })
+    }
+
+    /// Takes in what a report tells of a task; what its answer should say of it in any case.
+    fn on_task(
+        &mut self,
+        index: MachineIndex,
+        reported: &ReportTask,
+        key: Option<SlotKey>,
+        fenced: bool,
+        now: Time,
+    ) -> Option<Command> {
+        split_task(&reported.task)?;
+        let (task, attempt) = (reported.task.clone(), reported.attempt);
+        if reported.state == TaskState::Exited {
+            let exit_reason = reported.exit_reason.unwrap_or(ExitReason::Other);
+            let forget = match key {
+                Some(key) => self.on_exit(index, key, exit_reason, fenced, now),
+                None => fenced,
+            };
+            let name = (task, attempt);
+            let kept = |m: &Machine| m.kept.contains(&name);
+            let kept = self.fleet.machines.get(&index).is_some_and(kept);
+            let (task, attempt) = name;
+            return (forget && !kept).then_some(Command::Forget { task, attempt });
+        }
+        match key {
+            Some(key) => {
+                self.on_alive(index, key, reported.state, now);
+                None
+            }
+            // Of a job that is over and forgotten.
+            None => Some(Command::Stop {
+                task,
+                attempt,
+                grace_s: 0.0,
+            }),
+        }
+    }
+
     /// Adds to the answer of a worker's own report what it is to do now. A report that is no
     /// longer the newest known gets nothing: its worker may have given up on it. Returns whether it
     /// was the newest.
--- a/src/view.rs
+++ b/src/view.rs
@@ -252,88 +252,99 @@
                 };
                 None
             }
-            "job" => {
-                let id: Rc<str> = rest.into();
-                match value {
-                    Some(value) => {
-                        let job = self.jobs.entry(id.clone()).or_default();
-                        // A job that is over may still be on machines, and count against its team's
-                        // limit: read anew, in the order of names, its end comes first.
-                        if job.spec.is_none()
-                            && let Some(record) = parse::<JobRecord>(value)
-                        {
-                            job.at_ms = record.at_ms;
-                            job.waits = !record.spec.waits_on.is_empty() || record.parts > 0;
-                            (job.parts, job.parts_missing) = (record.parts, record.parts);
-                            job.spec = Some(Rc::new(record.spec));
-                            job.order = version;
-                            self.enter_graph(&id);
-                        }
-                    }
-                    None => {
-                        let job = self.jobs.get_mut(&id)?;
-                        job.spec = None;
-                        job.waits = false;
-                        job.forget_tasks();
-                        if !job.is_known() {
-                            self.jobs.remove(&id);
-                        }
-                    }
-                }
-                Some(Change::Job(id))
-            }
-            "end" => {
-                let id: Rc<str> = rest.into();
-                let record = parse::<EndRecord>(value?)?;
-                self.jobs.entry(id.clone()).or_default().end = Some(record);
-                if self.whole {
-                    self.graph.ended(&id, record.end == End::Done);
-                }
-                Some(Change::End(id))
-            }
+            "job" => self.apply_job(rest, value, version),
+            "end" => self.apply_end(rest, value?),
             "needs" => {
-                let (id, _) = rest.split_once('/')?;
-                let job = self.jobs.get_mut(id).filter(|j| j.spec.is_some());
-                match (job, value) {
-                    (Some(job), Some(value)) if job.parts_missing > 0 => {
-                        job.parts_missing -= 1;
-                        let more: Vec<String> = parse(value)?;
-                        if let Some(spec) = &mut job.spec {
-                            Rc::make_mut(spec).waits_on.extend(more);
-                        }
-                        self.enter_graph(&id.into());
-                    }
-                    (None, Some(_)) => {
-                        self.loose.insert(key.to_owned());
-                    }
-                    (_, None) => {
-                        self.loose.remove(key);
-                    }
-                    _ => {}
-                }
+                self.apply_needs(key, rest, value);
                 None
             }
             "run" => {
-                let number: u64 = rest.parse().ok()?;
-                match value {
-                    Some(value) => {
-                        self.log.insert(number);
-                        let record: LogRecord = parse(value)?;
-                        self.oldest = self.oldest.max(record.oldest);
-                        if number >= self.oldest {
-                            self.take_log(number, record);
-                        }
-                    }
-                    None => {
-                        self.log.remove(&number);
-                    }
-                }
+                self.apply_log(rest.parse().ok()?, value);
                 None
             }
             _ => None,
         }
     }
 
+    fn apply_job(&mut self, id: &str, value: Option<&RawValue>, version: u64) -> Option<Change> {
+        let id: Rc<str> = id.into();
+        let Some(value) = value else {
+            let job = self.jobs.get_mut(&id)?;
+            job.spec = None;
+            job.waits = false;
+            job.forget_tasks();
+            if !job.is_known() {
+                self.jobs.remove(&id);
+            }
+            return Some(Change::Job(id));
+        };
+        let job = self.jobs.entry(id.clone()).or_default();
+        // A job that is over may still be on machines, and count against its team's
+        // limit: read anew, in the order of names, its end comes first.
+        if job.spec.is_none()
+            && let Some(record) = parse::<JobRecord>(value)
+        {
+            job.at_ms = record.at_ms;
+            job.waits = !record.spec.waits_on.is_empty() || record.parts > 0;
+            (job.parts, job.parts_missing) = (record.parts, record.parts);
+            job.spec = Some(Rc::new(record.spec));
+            job.order = version;
+            self.enter_graph(&id);
+        }
+        Some(Change::Job(id))
+    }
+
+    fn apply_end(&mut self, id: &str, value: &RawValue) -> Option<Change> {
+        let id: Rc<str> = id.into();
+        let record = parse::<EndRecord>(value)?;
+        self.jobs.entry(id.clone()).or_default().end = Some(record);
+        if self.whole {
+            self.graph.ended(&id, record.end == End::Done);
+        }
+        Some(Change::End(id))
+    }
+
+    /// A part of the jobs that a job waits on.
+    fn apply_needs(&mut self, key: &str, rest: &str, value: Option<&RawValue>) {
+        let Some((id, _)) = rest.split_once('/') else {
+            return;
+        };
+        let Some(value) = value else {
+            self.loose.remove(key);
+            return;
+        };
+        let Some(job) = self.jobs.get_mut(id).filter(|j| j.spec.is_some()) else {
+            self.loose.insert(key.to_owned());
+            return;
+        };
+        if job.parts_missing == 0 {
+            return;
+        }
+        job.parts_missing -= 1;
+        let Some(more) = parse::<Vec<String>>(value) else {
+            return;
+        };
+        if let Some(spec) = &mut job.spec {
+            Rc::make_mut(spec).waits_on.extend(more);
+        }
+        self.enter_graph(&id.into());
+    }
+
+    fn apply_log(&mut self, number: u64, value: Option<&RawValue>) {
+        let Some(value) = value else {
+            self.log.remove(&number);
+            return;
+        };
+        self.log.insert(number);
+        let Some(record) = parse::<LogRecord>(value) else {
+            return;
+        };
+        self.oldest = self.oldest.max(record.oldest);
+        if number >= self.oldest {
+            self.take_log(number, record);
+        }
+    }
+
     /// Notes on whom a job waits, once all of that is known.
     fn enter_graph(&mut self, id: &Rc<str>) {
         let Some(job) = self.jobs.get(id) else {
