--- a/src/autoscale/demand.rs
+++ b/src/autoscale/demand.rs
@@ -202,35 +202,19 @@
     }
 
     /// Jobs that the means of their class tell nothing of, and that have waited for long: tasks
-    /// larger than usual, or a gang for a single zone where the class has several. By the mean
-    /// there was room for them all the time, and one once waited for ever.
+    /// larger than usual, a gang for a single zone where the class has several, or a gang that must be spread over
+    /// zones. By the mean there was room for them all the time, and one once waited for ever.
     pub(super) fn overlooked(&self, units: &[Unit], now: Time) -> Vec<(Rc<str>, Class)> {
         let waits = |job: &&Job| {
             let begun = job.bound + job.done > 0;
             !begun && job.not_before <= now && now - job.since > BEGIN_S * OVERLOOKED
         };
-        let jobs = self
-            .active
-            .iter()
-            .map(|index| &self.jobs[index])
-            .filter(waits);
+        let jobs = self.active.iter().map(|index| &self.jobs[index]);
         let mut found: Vec<(Rc<str>, Class)> = jobs
-            .filter_map(|job| {
-                let class = self.classes.get(&*job.class)?;
-                let zone = self.zone_for(job, units, now);
-                let usual = job.amount().fits(class.amount);
-                (!usual || zone.is_some()).then(|| {
-                    let mut spec = (*job.spec).clone();
-                    spec.zone = zone.or(spec.zone);
-                    let own = Class {
-                        spec: Rc::new(spec),
-                        amount: job.amount(),
-                        pending: f64::from(job.pending()),
-                        bound: 0.0,
-                        ..class.clone()
-                    };
-                    (job.class.clone(), own)
-                })
+            .filter(waits)
+            .flat_map(|job| {
+                let own = self.classes_of_its_own(job, units, now);
+                own.into_iter().map(|class| (job.class.clone(), class))
             })
             .take(OVERLOOKED_MAX)
             .collect();
@@ -239,11 +223,42 @@
         found
     }
 
-    /// In which of several zones there is or may be most room for a gang that must be in one.
-    pub(super) fn zone_for(&self, job: &Job, units: &[Unit], now: Time) -> Option<String> {
+    /// What a job needs that its class doesn't tell: one class for each zone that it must be in, if there are such.
+    fn classes_of_its_own(&self, job: &Job, units: &[Unit], now: Time) -> Vec<Class> {
+        let Some(class) = self.classes.get(&*job.class) else {
+            return Vec::new();
+        };
+        let zones = self.zones_for(job, units, now);
+        let own = |zone: Option<String>, tasks: u32| {
+            let mut spec = (*job.spec).clone();
+            spec.zone = zone.or(spec.zone);
+            Class {
+                spec: Rc::new(spec),
+                amount: job.amount(),
+                pending: f64::from(tasks),
+                bound: 0.0,
+                ..class.clone()
+            }
+        };
+        let tasks = job.pending();
+        match zones.as_slice() {
+            [] if job.amount().fits(class.amount) => Vec::new(),
+            [] => vec![own(None, tasks)],
+            [zone] => vec![own(Some(zone.clone()), tasks)],
+            [first, second, ..] => vec![
+                own(Some(first.clone()), tasks.div_ceil(2)),
+                own(Some(second.clone()), tasks / 2),
+            ],
+        }
+    }
+
+    /// In which of several zones there is or may be most room for a gang that must be in one, or in which two for one
+    /// that must be spread.
+    fn zones_for(&self, job: &Job, units: &[Unit], now: Time) -> Vec<String> {
         let spec = &job.spec;
-        if !job.is_gang() || !spec.one_zone || spec.zone.is_some() {
-            return None;
+        let bound_to_zones = spec.one_zone || (spec.spread && spec.tasks > 1);
+        if !job.is_gang() || !bound_to_zones || spec.zone.is_some() {
+            return Vec::new();
         }
         let kinds = self.kinds(spec);
         let mut zones: BTreeMap<&str, f64> = BTreeMap::new();
@@ -268,9 +283,11 @@
             }
         }
         if zones.len() < 2 {
-            return None;
+            return Vec::new();
         }
-        let most = zones.into_iter().max_by(|a, b| a.1.total_cmp(&b.1));
-        most.map(|(zone, _)| zone.to_owned())
+        let mut order: Vec<(&str, f64)> = zones.into_iter().collect();
+        order.sort_by(|a, b| b.1.total_cmp(&a.1).then(b.0.cmp(a.0)));
+        order.truncate(if spec.one_zone { 1 } else { 2 });
+        order.into_iter().map(|(zone, _)| zone.to_owned()).collect()
     }
 }
--- a/src/node/tests/world/checks.rs
+++ b/src/node/tests/world/checks.rs
@@ -111,8 +111,15 @@
         self.spec(task).estimate_s + f64::from(number) * self.apart_s.get()
     }
 
+    /// A task completed; of a gang all do, if one does.
     pub fn completed(&self, task: &str) {
-        self.done.borrow_mut().insert(task.to_owned());
+        let spec = self.spec(task);
+        let mut done = self.done.borrow_mut();
+        if spec.kind == Kind::Gang {
+            done.extend((0..spec.tasks).map(|n| format!("{}/{n}", spec.id)));
+        } else {
+            done.insert(task.to_owned());
+        }
     }
 
     pub fn is_complete(&self, id: &str) -> bool {
--- a/src/node/tests/world/gangs.rs
+++ b/src/node/tests/world/gangs.rs
@@ -106,9 +106,6 @@
         let spec = self.checks.spec(&members[0].task);
         if members.iter().any(|m| m.done) {
             // If one task is done, so are all.
-            for task in 0..spec.tasks {
-                self.checks.completed(&format!("{}/{task}", spec.id));
-            }
             self.exit_all(attempt, members, ExitReason::Done);
             return;
         }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -306,14 +306,13 @@
         let healthy = |p: &Place| !job.failed_on.contains(&p.index);
         let any_healthy =
             job.failed_on.is_empty() || places.iter().any(|p| allowed(p) && healthy(p));
-        let avoids_spot = self.is_step_with_deadline(job);
         let patience = Patience {
             gang: job.is_gang(),
-            step: avoids_spot,
             near_s: self.run_s(job).min(self.tightest_wait(spec)) * NEAR_SHARE,
             waited_s: now - job.since,
             spread: self.image_spread.get(&*spec.image).copied().unwrap_or(0.0),
         };
+        let avoids_spot = self.is_step_with_deadline(job);
         let mut picker = Picker::new(self.rule, amount, weight);
         for (at, p) in places.iter().enumerate() {
             let room = p.now.capacity.minus(p.now.used);
@@ -349,28 +348,30 @@
             return Some((0, 0));
         };
         let rest_s = m.images.rest_s(&spec.image, now);
-        let own_s = fetch_s(spec.image_gb, cache_of(&self.types[p.type_index]));
-        let there_s = rest_s.unwrap_or_else(|| m.images.busy_s(now) + own_s);
-        if by.gang && !by.step {
+        if by.gang {
             // Fetching the image may take longer than a gang should wait.
             let far = u8::from(rest_s.is_none());
             return Some((far, far));
         }
-        if by.gang {
-            // The slowest fetch holds up all of them.
-            let far = by.steps(there_s);
-            return Some((far, far));
-        }
+        let own_s = fetch_s(spec.image_gb, cache_of(&self.types[p.type_index]));
+        let there_s = rest_s.unwrap_or_else(|| m.images.busy_s(now) + own_s);
         if there_s > own_s * FETCH_QUEUE + by.waited_s * FETCH_PATIENCE
             || (rest_s.is_none() && by.waited_s < own_s * by.spread)
         {
             return None;
         }
-        let asked = by.steps(there_s);
+        let steps = |s: f64| {
+            (s / by.near_s)
+                .max(1.0)
+                .log2()
+                .ceil()
+                .min(f64::from(u8::MAX)) as u8
+        };
+        let asked = steps(there_s);
         Some(match rest_s {
             Some(_) => (asked, asked),
             // What is fetched holds up what else the machine fetches, and takes room there.
-            None => (by.steps(there_s * FETCH_WEIGHT), asked),
+            None => (steps(there_s * FETCH_WEIGHT), asked),
         })
     }
 
@@ -399,8 +400,6 @@
 #[derive(Clone, Copy)]
 struct Patience {
     gang: bool,
-    /// It is a step of a chain with a deadline.
-    step: bool,
     /// A wait that hardly matters.
     near_s: f64,
     waited_s: f64,
@@ -408,14 +407,6 @@
     spread: f64,
 }
 
-impl Patience {
-    /// How far an image is that is there in so many seconds, in steps of two.
-    fn steps(&self, seconds: f64) -> u8 {
-        let waits = (seconds / self.near_s).max(1.0);
-        waits.log2().ceil().min(f64::from(u8::MAX)) as u8
-    }
-}
-
 /// What a machine type is to a job.
 #[derive(Clone, Copy)]
 struct TypeFor {
--- a/src/tests/scenarios/renting.rs
+++ b/src/tests/scenarios/renting.rs
@@ -187,3 +187,34 @@
         }
     }
 }
+
+/// A gang that must be spread over zones has room by its CPUs on the machines of one: it once waited for ever.
+#[test]
+fn a_gang_that_must_be_spread_has_machines_rented_in_two_zones() {
+    let mut store = FakeStore::default();
+    store.submit(&job("j-0", 1));
+    let mut spread = gang("j-1", 4);
+    (spread.spread, spread.cpus) = (true, 2.0);
+    store.submit(&spread);
+    let mut leader = store.elect("n0", 0.0);
+    let mut w = FakeWorker::new("i-1", "small", "north");
+    let mut zones = std::collections::BTreeSet::new();
+    for step in 1..300 {
+        let now = f64::from(step);
+        w.checkin(&mut leader, now);
+        store.settle(&mut leader, now);
+        leader.tend(now);
+        while let Some(call) = leader.next_cloud_call(now) {
+            let answer = match &call {
+                CloudCall::List { .. } => CloudAnswer::List(Vec::new(), false),
+                CloudCall::Rent(rent, _) => {
+                    zones.insert(rent.zone.clone());
+                    CloudAnswer::NoCapacity
+                }
+                _ => CloudAnswer::Failed,
+            };
+            leader.on_cloud(call, answer, now);
+        }
+    }
+    assert!(zones.contains("south"), "{zones:?}");
+}
