--- a/src/assignment_log.rs
+++ b/src/assignment_log.rs
@@ -80,14 +80,14 @@
         task: u32,
         place: impl FnOnce(MachineIndex) -> Option<(&'a str, &'a str)>,
     ) -> bool {
-        let (told, machine) = match job.task(task) {
+        let (recorded, machine) = match job.task(task) {
             Task::Pending => (Recorded::Free, None),
             Task::Done { .. } => (Recorded::Done, None),
             Task::Bound {
                 machine, attempt, ..
             } => (Recorded::Bound(attempt), Some(machine)),
         };
-        let attempt = match told {
+        let attempt = match recorded {
             Recorded::Bound(attempt) => attempt,
             Recorded::Free | Recorded::Done => 0,
         };
@@ -102,10 +102,7 @@
             let Some((name, zone)) = place(machine) else {
                 return true;
             };
-            cost += name.len() + NAME_PUNCTUATION + digits(self.machines.len() as u64);
-            if !self.record.zones.iter().any(|z| z == zone) {
-                cost += zone.len() + NAME_PUNCTUATION;
-            }
+            cost += self.machine_cost(name, zone);
             fresh = Some((machine, name, zone));
         }
         if self.bytes + cost > self.limit {
@@ -113,15 +110,37 @@
         }
         self.bytes += cost;
         if let Some((machine, name, zone)) = fresh {
-            let zones = &mut self.record.zones;
-            let at = zones.iter().position(|z| z == zone).unwrap_or_else(|| {
-                zones.push(zone.to_owned());
-                zones.len() - 1
-            });
-            self.record.machines.push((name.to_owned(), at as u32));
-            let at = self.record.machines.len() as u32 - 1;
-            self.machines.insert(machine, at);
+            self.add_machine(machine, name, zone);
         }
+        let place = machine.and_then(|m| self.machines.get(&m).copied());
+        self.job_log(index, job, attempt)
+            .push(task, recorded, place);
+        self.recorded.push((index, task, recorded));
+        true
+    }
+
+    /// What a machine takes that is not in the value yet.
+    fn machine_cost(&self, name: &str, zone: &str) -> usize {
+        let mut cost = name.len() + NAME_PUNCTUATION + digits(self.machines.len() as u64);
+        if !self.record.zones.iter().any(|z| z == zone) {
+            cost += zone.len() + NAME_PUNCTUATION;
+        }
+        cost
+    }
+
+    fn add_machine(&mut self, machine: MachineIndex, name: &str, zone: &str) {
+        let zones = &mut self.record.zones;
+        let at = zones.iter().position(|z| z == zone).unwrap_or_else(|| {
+            zones.push(zone.to_owned());
+            zones.len() - 1
+        });
+        self.record.machines.push((name.to_owned(), at as u32));
+        let at = self.record.machines.len() as u32 - 1;
+        self.machines.insert(machine, at);
+    }
+
+    /// The part of the value for a job's attempt.
+    fn job_log(&mut self, index: JobIndex, job: &Job, attempt: u64) -> &mut JobLog {
         let jobs = &mut self.record.jobs;
         let at = *self.jobs.entry((index, attempt)).or_insert_with(|| {
             jobs.push(JobLog {
@@ -131,25 +150,28 @@
             });
             jobs.len() - 1
         });
-        let log = &mut jobs[at];
-        match machine.and_then(|m| self.machines.get(&m)) {
-            Some(place) => match log.bound.last_mut() {
-                Some((first, n, at)) if *first + *n == task && at == place => *n += 1,
-                _ => log.bound.push((task, 1, *place)),
-            },
-            None => {
-                let ranges = match told {
-                    Recorded::Done => &mut log.done,
-                    Recorded::Free | Recorded::Bound(_) => &mut log.free,
-                };
-                match ranges.last_mut() {
-                    Some((first, n)) if *first + *n == task => *n += 1,
-                    _ => ranges.push((task, 1)),
-                }
+        &mut jobs[at]
+    }
+}
+
+impl JobLog {
+    /// Adds a task to the last range, or as a new one; `place` is that of its machine, if it is on one.
+    fn push(&mut self, task: u32, recorded: Recorded, place: Option<u32>) {
+        if let Some(place) = place {
+            match self.bound.last_mut() {
+                Some((first, n, at)) if *first + *n == task && *at == place => *n += 1,
+                _ => self.bound.push((task, 1, place)),
             }
+            return;
+        }
+        let ranges = match recorded {
+            Recorded::Done => &mut self.done,
+            Recorded::Free | Recorded::Bound(_) => &mut self.free,
+        };
+        match ranges.last_mut() {
+            Some((first, n)) if *first + *n == task => *n += 1,
+            _ => ranges.push((task, 1)),
         }
-        self.recorded.push((index, task, told));
-        true
     }
 }
 
--- a/src/autoscale.rs
+++ b/src/autoscale.rs
@@ -219,6 +219,13 @@
 }
 
 impl Demand {
+    /// So many tasks have their machines.
+    fn take_off(&mut self, tasks: f64) {
+        self.full -= tasks;
+        self.lean -= tasks;
+        self.rent -= tasks;
+    }
+
     /// Machines of any kind for all of so many tasks.
     fn of_all(tasks: f64) -> Self {
         Demand {
--- a/src/autoscale/cover.rs
+++ b/src/autoscale/cover.rs
@@ -8,6 +8,54 @@
 use crate::rt::Time;
 use crate::wire::Submission;
 
+/// What machines are to a class.
+struct ClassFit {
+    /// Types that it may use, each with whether as spot machines.
+    kinds: Vec<(usize, bool)>,
+    is_large: bool,
+    /// What a CPU may cost on machines that count as cheap.
+    cheap: f64,
+}
+
+impl ClassFit {
+    /// Whether the class may use a machine, and no other sort of work was given it.
+    fn suits(&self, class: &Class, unit: &Unit) -> bool {
+        let zone = class.spec.zone.as_ref();
+        self.kinds.contains(&(unit.type_index, unit.spot))
+            && zone.is_none_or(|z| **z == *unit.zone)
+            && (!unit.taken || unit.large == self.is_large)
+    }
+
+    /// Gives the class what is left of a machine, as far as it wants it.
+    fn take(&self, class: &Class, unit: &mut Unit, left: &mut Demand) {
+        let need = if unit.price <= self.cheap {
+            left.full
+        } else {
+            left.lean
+        };
+        let fits = tasks_that_fit(class.amount, unit.room);
+        if need <= 1e-6 || fits < 1.0 {
+            return;
+        }
+        let tasks = fits.min(need);
+        unit.room = unit.room.minus(class.amount.times(tasks));
+        unit.taken = true;
+        unit.large = self.is_large;
+        left.take_off(tasks);
+    }
+}
+
+/// Nothing more is to be had: the least busy machines of small work turn to large work.
+fn turn_units(class: &Class, fit: &ClassFit, units: &mut [Unit], left: &mut Demand) {
+    let mut order: Vec<usize> = (0..units.len()).collect();
+    order.sort_by(|a, b| units[*a].used.total_cmp(&units[*b].used));
+    for at in order {
+        if units[at].has_small && fit.suits(class, &units[at]) {
+            fit.take(class, &mut units[at], left);
+        }
+    }
+}
+
 impl Leader {
     /// The machines that are there or coming, cheapest and fullest first.
     pub(super) fn units(&self, now: Time) -> Vec<Unit> {
@@ -58,54 +106,19 @@
     pub(super) fn cover(
         &self,
         class: &Class,
-        want: Demand,
+        demand: Demand,
         units: &mut Vec<Unit>,
         there: &BTreeMap<PoolKey, u32>,
         rents: &mut Rents,
         now: Time,
     ) -> Demand {
-        let spec = &class.spec;
-        let mut left = want;
-        let kinds = self.kinds(spec);
-        let large_class = self.is_large_class(class);
-        let cheap = self.cheapest(spec) * CHEAP;
-        let suits = |unit: &Unit| {
-            kinds.contains(&(unit.type_index, unit.spot))
-                && spec.zone.as_ref().is_none_or(|z| **z == *unit.zone)
-                && (!unit.taken || unit.large == large_class)
+        let mut left = demand;
+        let fit = ClassFit {
+            kinds: self.kinds(&class.spec),
+            is_large: self.is_large_class(class),
+            cheap: self.cheapest(&class.spec) * CHEAP,
         };
-        let take_from = |unit: &mut Unit, left: &mut Demand| {
-            let need = if unit.price <= cheap {
-                left.full
-            } else {
-                left.lean
-            };
-            let fits = tasks_that_fit(class.amount, unit.room);
-            if need <= 1e-6 || fits < 1.0 {
-                return;
-            }
-            let take = fits.min(need);
-            unit.room = unit.room.minus(class.amount.times(take));
-            unit.taken = true;
-            unit.large = large_class;
-            left.full -= take;
-            left.lean -= take;
-            left.rent -= take;
-        };
-        // Machines that do such work already come first, then free ones, then, for large work,
-        // those where small tasks would make way.
-        let rank = |u: &Unit| match (large_class, u.has_large, u.has_small) {
-            (true, true, _) | (false, false, true) => 0,
-            (_, false, false) => 1,
-            (true, false, true) if u.top < Some(spec.priority) => 2,
-            (false, true, _) if u.used <= self.config.tunables.large_share => 1,
-            _ => u8::MAX,
-        };
-        for pass in 0..3 {
-            for unit in units.iter_mut().filter(|u| suits(u) && rank(u) == pass) {
-                take_from(unit, &mut left);
-            }
-        }
+        self.take_units(class, &fit, units, &mut left);
         loop {
             let (cheap_only, need) = if left.full > 1e-6 && left.full > left.lean {
                 (true, left.full)
@@ -115,60 +128,77 @@
             if need <= 1e-6 {
                 return left;
             }
-            let limit = if cheap_only { cheap } else { f64::INFINITY };
-            let Some((pool, per_machine, room)) =
-                self.best_pool(class, need, limit, there, rents, now)
-            else {
-                if cheap_only {
-                    left.full = left.lean;
-                    continue;
-                }
-                if large_class {
-                    // Nothing more to be had: the least busy machines of small work turn.
-                    let mut order: Vec<usize> = (0..units.len()).collect();
-                    order.sort_by(|a, b| units[*a].used.total_cmp(&units[*b].used));
-                    for at in order {
-                        if suits(&units[at]) && units[at].has_small {
-                            take_from(&mut units[at], &mut left);
-                        }
+            let limit = if cheap_only { fit.cheap } else { f64::INFINITY };
+            match self.best_pool(class, need, limit, there, rents, now) {
+                Some(found) => self.rent_units(class, need, found, units, rents, &mut left),
+                None if cheap_only => left.full = left.lean,
+                None => {
+                    if fit.is_large {
+                        turn_units(class, &fit, units, &mut left);
                     }
+                    return left;
+                }
+            }
+        }
+    }
+
+    /// Machines that do such work already come first, then free ones, then, for large work,
+    /// those where small tasks would make way.
+    fn take_units(&self, class: &Class, fit: &ClassFit, units: &mut [Unit], left: &mut Demand) {
+        let rank = |u: &Unit| match (fit.is_large, u.has_large, u.has_small) {
+            (true, true, _) | (false, false, true) => 0,
+            (_, false, false) => 1,
+            (true, false, true) if u.top < Some(class.spec.priority) => 2,
+            (false, true, _) if u.used <= self.config.tunables.large_share => 1,
+            _ => u8::MAX,
+        };
+        for pass in 0..3 {
+            for unit in units.iter_mut() {
+                if rank(unit) == pass && fit.suits(class, unit) {
+                    fit.take(class, unit, left);
                 }
-                return left;
-            };
-            let machines = (need / per_machine)
-                .ceil()
-                .min(f64::from(room.min(RENT_MAX)));
-            let role = if large_class {
-                Role::Large
-            } else {
-                Role::Shared
-            };
-            *rents.entry((pool.clone(), role)).or_insert(0) += machines as u32;
-            for _ in 0..machines as u32 {
-                let take = per_machine.min(need);
-                let capacity = self.capacity_of(pool.type_index);
-                units.push(Unit {
-                    index: None,
-                    type_index: pool.type_index,
-                    spot: pool.spot,
-                    zone: pool.zone.clone(),
-                    room: capacity.minus(class.amount.times(take)),
-                    price: self.unit_price(pool.type_index, pool.spot),
-                    used: 0.0,
-                    up: false,
-                    has_large: false,
-                    has_small: false,
-                    top: None,
-                    large: large_class,
-                    taken: true,
-                });
-                left.full -= take;
-                left.lean -= take;
-                left.rent -= take;
             }
         }
     }
 
+    /// Rents machines of a pool, for so many tasks or as many as may be asked for.
+    fn rent_units(
+        &self,
+        class: &Class,
+        need: f64,
+        (pool, per_machine, room): (PoolKey, f64, u32),
+        units: &mut Vec<Unit>,
+        rents: &mut Rents,
+        left: &mut Demand,
+    ) {
+        let large = self.is_large_class(class);
+        let machines = (need / per_machine)
+            .ceil()
+            .min(f64::from(room.min(RENT_MAX)));
+        let role = if large { Role::Large } else { Role::Shared };
+        *rents.entry((pool.clone(), role)).or_insert(0) += machines as u32;
+        let take = per_machine.min(need);
+        for _ in 0..machines as u32 {
+            let capacity = self.capacity_of(pool.type_index);
+            units.push(Unit {
+                index: None,
+                type_index: pool.type_index,
+                spot: pool.spot,
+                zone: pool.zone.clone(),
+                room: capacity.minus(class.amount.times(take)),
+                price: self.unit_price(pool.type_index, pool.spot),
+                used: 0.0,
+                up: false,
+                has_large: false,
+                has_small: false,
+                top: None,
+                large,
+                taken: true,
+            });
+            left.take_off(take);
+        }
+    }
+
     /// How many machines of each pool there are.
     pub(super) fn pool_counts(&self) -> BTreeMap<PoolKey, u32> {
         let mut counts = BTreeMap::new();
--- a/src/config.rs
+++ b/src/config.rs
@@ -226,6 +226,45 @@
                 return Err(wrong("known.host_name", format!("{} twice", peer.name)));
             }
         }
+        self.check_positive()?;
+        if !(d.cloud.list_lag_s.is_finite() && d.cloud.list_lag_s >= 0.0) {
+            return Err(wrong(
+                "deployment.cloud.list_lag_s",
+                format!("{} is negative or not finite", d.cloud.list_lag_s),
+            ));
+        }
+        if d.state.txn_ops == 0 {
+            return Err(wrong("deployment.state.txn_ops", "is zero"));
+        }
+        let next = d.state.next.as_ref();
+        if next.is_some_and(|n| n.txn_ops == Some(0)) {
+            return Err(wrong("deployment.state.next.txn_ops", "is zero"));
+        }
+        if d.limits.max_sockets < SOCKETS_MIN {
+            return Err(wrong(
+                "deployment.limits.max_sockets",
+                format!("{} is below {SOCKETS_MIN}", d.limits.max_sockets),
+            ));
+        }
+        self.check_teams()?;
+        self.check_objectives()?;
+        if self.leader_life_s() < LEASE_LIFE_MIN_S {
+            return Err(wrong(
+                "deployment.workers",
+                "lease_s and report_s leave no room for a leader's lease",
+            ));
+        }
+        if self.leader_life_s() + self.off_after_s() >= d.workers.cancel_s {
+            return Err(wrong(
+                "deployment.workers.cancel_s",
+                "is too short for the workers' lease and a change of leader",
+            ));
+        }
+        self.tunables.check()
+    }
+
+    fn check_positive(&self) -> Result<(), ConfigError> {
+        let d = &self.deployment;
         let positive = [
             ("deployment.workers.report_s", d.workers.report_s),
             ("deployment.workers.lease_s", d.workers.lease_s),
@@ -260,24 +299,11 @@
                 return Err(wrong(field, format!("{value} is not above zero")));
             }
         }
-        if !(d.cloud.list_lag_s.is_finite() && d.cloud.list_lag_s >= 0.0) {
-            return Err(wrong(
-                "deployment.cloud.list_lag_s",
-                format!("{} is negative or not finite", d.cloud.list_lag_s),
-            ));
-        }
-        if d.state.txn_ops == 0 {
-            return Err(wrong("deployment.state.txn_ops", "is zero"));
-        }
-        if next.is_some_and(|n| n.txn_ops == Some(0)) {
-            return Err(wrong("deployment.state.next.txn_ops", "is zero"));
-        }
-        if d.limits.max_sockets < SOCKETS_MIN {
-            return Err(wrong(
-                "deployment.limits.max_sockets",
-                format!("{} is below {SOCKETS_MIN}", d.limits.max_sockets),
-            ));
-        }
+        Ok(())
+    }
+
+    fn check_teams(&self) -> Result<(), ConfigError> {
+        let d = &self.deployment;
         for (i, team) in d.teams.iter().enumerate() {
             if d.teams[..i].iter().any(|t| t.name == team.name) {
                 return Err(wrong("deployment.teams", format!("{} twice", team.name)));
@@ -296,7 +322,11 @@
                 }
             }
         }
-        for o in &d.objectives {
+        Ok(())
+    }
+
+    fn check_objectives(&self) -> Result<(), ConfigError> {
+        for o in &self.deployment.objectives {
             for (name, value) in [
                 ("within_s", o.within_s),
                 ("share", o.share),
@@ -310,19 +340,7 @@
                 }
             }
         }
-        if self.leader_life_s() < LEASE_LIFE_MIN_S {
-            return Err(wrong(
-                "deployment.workers",
-                "lease_s and report_s leave no room for a leader's lease",
-            ));
-        }
-        if self.leader_life_s() + self.off_after_s() >= d.workers.cancel_s {
-            return Err(wrong(
-                "deployment.workers.cancel_s",
-                "is too short for the workers' lease and a change of leader",
-            ));
-        }
-        self.tunables.check()
+        Ok(())
     }
 
     /// Life of the leader's lease.
--- a/src/config/tunables.rs
+++ b/src/config/tunables.rs
@@ -48,13 +48,15 @@
 
 pub(super) const SCRIPT_BYTES: u64 = 64 * 1024;
 
+/// The first line of what a script says is wrong.
+fn fail(e: mlua::Error) -> ConfigError {
+    let text = e.to_string();
+    ConfigError::Script(text.lines().next().unwrap_or("failed").to_owned())
+}
+
 impl Tunables {
     /// Runs an operators' script, which returns a table of tunables.
     pub fn from_script(source: &str) -> Result<Self, ConfigError> {
-        let fail = |e: mlua::Error| {
-            let text = e.to_string();
-            ConfigError::Script(text.lines().next().unwrap_or("failed").to_owned())
-        };
         let libs = mlua::StdLib::MATH | mlua::StdLib::TABLE | mlua::StdLib::STRING;
         let lua = mlua::Lua::new_with(libs, mlua::LuaOptions::default()).map_err(fail)?;
         lua.set_memory_limit(SCRIPT_MEMORY).map_err(fail)?;
@@ -84,24 +86,7 @@
         for pair in table.pairs::<String, mlua::Value>() {
             let (name, value) = pair.map_err(fail)?;
             if name == "weights" {
-                let mlua::Value::Table(weights) = value else {
-                    return Err(ConfigError::Script("weights: not a table".into()));
-                };
-                for pair in weights.pairs::<String, f64>() {
-                    let (class, weight) = pair.map_err(fail)?;
-                    let at = match class.as_str() {
-                        "low" => 0,
-                        "normal" => 1,
-                        "high" => 2,
-                        "production" => 3,
-                        _ => {
-                            return Err(ConfigError::Script(format!(
-                                "weights.{class}: no such priority"
-                            )));
-                        }
-                    };
-                    t.weights[at] = weight;
-                }
+                t.read_weights(&value)?;
                 continue;
             }
             let slot = match name.as_str() {
@@ -124,6 +109,27 @@
         Ok(t)
     }
 
+    fn read_weights(&mut self, value: &mlua::Value) -> Result<(), ConfigError> {
+        let mlua::Value::Table(weights) = value else {
+            return Err(ConfigError::Script("weights: not a table".into()));
+        };
+        for pair in weights.pairs::<String, f64>() {
+            let (class, weight) = pair.map_err(fail)?;
+            let at = match class.as_str() {
+                "low" => 0,
+                "normal" => 1,
+                "high" => 2,
+                "production" => 3,
+                _ => {
+                    let problem = format!("weights.{class}: no such priority");
+                    return Err(ConfigError::Script(problem));
+                }
+            };
+            self.weights[at] = weight;
+        }
+        Ok(())
+    }
+
     pub(super) fn check(&self) -> Result<(), ConfigError> {
         let range = |name: &str, value: f64, low: f64, high: f64| {
             if value >= low && value <= high {
--- a/src/node/cloud.rs
+++ b/src/node/cloud.rs
@@ -48,70 +48,83 @@
     pub(super) async fn call_cloud(&self, call: &CloudCall) -> CloudAnswer {
         let wait = self.cloud_pace.take(1.0, self.now());
         self.rt.sleep(wait).await;
-        let (method, path, body) = match call {
-            CloudCall::Types => ("GET", path::TYPES.to_owned(), None),
-            CloudCall::List { after } if after.is_empty() => {
-                ("GET", format!("{}?Limit=500", path::MACHINES), None)
-            }
-            CloudCall::List { after } => (
-                "GET",
-                format!("{}?After={after}&Limit=500", path::MACHINES),
-                None,
-            ),
-            CloudCall::Rent(rent, _) => (
-                "POST",
-                path::MACHINES.to_owned(),
-                serde_json::to_vec(rent).ok(),
-            ),
-            CloudCall::Delete(names) => (
-                "POST",
-                path::MACHINES_DELETE.to_owned(),
-                serde_json::to_vec(&MachineNames {
-                    machines: names.clone(),
-                })
-                .ok(),
-            ),
-        };
+        let (method, path, body) = request_of(call);
         let answer = self
             .cloud
             .call(method, &path, body.as_deref(), CLOUD_CALL_S)
             .await;
-        match (call, answer) {
-            (CloudCall::Types, Ok((200, body))) => {
-                match serde_json::from_slice::<MachineTypes>(&body) {
-                    Ok(t) if !t.types.is_empty() => CloudAnswer::Types(t.types),
-                    _ => CloudAnswer::Failed,
-                }
-            }
-            (CloudCall::List { .. }, Ok((200, body))) => {
-                match serde_json::from_slice::<MachineList>(&body) {
-                    Ok(list) => CloudAnswer::List(list.machines, list.more),
-                    Err(_) => CloudAnswer::Failed,
-                }
-            }
-            (CloudCall::Rent(..), Ok((200, body))) => {
-                match serde_json::from_slice::<MachineNames>(&body) {
-                    Ok(names) => CloudAnswer::Rented(names.machines),
-                    Err(_) => CloudAnswer::Failed,
-                }
-            }
-            (CloudCall::Rent(..), Ok((503, body))) if contains(&body, b"no capacity") => {
-                CloudAnswer::NoCapacity
-            }
-            (CloudCall::Rent(rent, _), Ok((400, _))) => {
-                tracing::warn!("the cloud calls {rent:?} malformed");
-                CloudAnswer::NoCapacity
+        answer_of(call, &path, answer)
+    }
+}
+
+/// The method, path and body of a call.
+fn request_of(call: &CloudCall) -> (&'static str, String, Option<Vec<u8>>) {
+    match call {
+        CloudCall::Types => ("GET", path::TYPES.to_owned(), None),
+        CloudCall::List { after } if after.is_empty() => {
+            ("GET", format!("{}?Limit=500", path::MACHINES), None)
+        }
+        CloudCall::List { after } => (
+            "GET",
+            format!("{}?After={after}&Limit=500", path::MACHINES),
+            None,
+        ),
+        CloudCall::Rent(rent, _) => (
+            "POST",
+            path::MACHINES.to_owned(),
+            serde_json::to_vec(rent).ok(),
+        ),
+        CloudCall::Delete(names) => (
+            "POST",
+            path::MACHINES_DELETE.to_owned(),
+            serde_json::to_vec(&MachineNames {
+                machines: names.clone(),
+            })
+            .ok(),
+        ),
+    }
+}
+
+fn answer_of(
+    call: &CloudCall,
+    path: &str,
+    answer: Result<(u16, Vec<u8>), CallError>,
+) -> CloudAnswer {
+    match (call, answer) {
+        (CloudCall::Types, Ok((200, body))) => {
+            match serde_json::from_slice::<MachineTypes>(&body) {
+                Ok(t) if !t.types.is_empty() => CloudAnswer::Types(t.types),
+                _ => CloudAnswer::Failed,
             }
-            (CloudCall::Delete(_), Ok((200, _))) => CloudAnswer::Deleted,
-            (_, Ok((status, _))) => {
-                tracing::debug!("cloud: {status} to {path}");
-                CloudAnswer::Failed
+        }
+        (CloudCall::List { .. }, Ok((200, body))) => {
+            match serde_json::from_slice::<MachineList>(&body) {
+                Ok(list) => CloudAnswer::List(list.machines, list.more),
+                Err(_) => CloudAnswer::Failed,
             }
-            (_, Err(CallError::NotSent(e) | CallError::Unknown(e))) => {
-                tracing::debug!("cloud: {e}");
-                CloudAnswer::Failed
+        }
+        (CloudCall::Rent(..), Ok((200, body))) => {
+            match serde_json::from_slice::<MachineNames>(&body) {
+                Ok(names) => CloudAnswer::Rented(names.machines),
+                Err(_) => CloudAnswer::Failed,
             }
         }
+        (CloudCall::Rent(..), Ok((503, body))) if contains(&body, b"no capacity") => {
+            CloudAnswer::NoCapacity
+        }
+        (CloudCall::Rent(rent, _), Ok((400, _))) => {
+            tracing::warn!("the cloud calls {rent:?} malformed");
+            CloudAnswer::NoCapacity
+        }
+        (CloudCall::Delete(_), Ok((200, _))) => CloudAnswer::Deleted,
+        (_, Ok((status, _))) => {
+            tracing::debug!("cloud: {status} to {path}");
+            CloudAnswer::Failed
+        }
+        (_, Err(CallError::NotSent(e) | CallError::Unknown(e))) => {
+            tracing::debug!("cloud: {e}");
+            CloudAnswer::Failed
+        }
     }
 }
 
--- a/src/node/follow.rs
+++ b/src/node/follow.rs
@@ -12,7 +12,8 @@
     SHORT_WATCH, STATE_PAUSE_S, WATCH_S,
 };
 use crate::autoscale::{CloudAnswer, CloudCall};
-use crate::leader::TxnOutcome;
+use crate::leader::{Leader, TxnOutcome};
+use crate::rt::Time;
 use crate::store::Followed;
 use crate::view::{self, View, key};
 use crate::wire::{self, Condition, Txn};
@@ -193,21 +194,7 @@
             };
             match view.apply(key, value, event.version) {
                 Some(view::Change::Job(id)) => {
-                    if let Some(job) = view.jobs.get_mut(&id)
-                        && let Some(spec) = &job.spec
-                    {
-                        if !job.waits {
-                            self.expected.borrow_mut().note(spec, now);
-                        }
-                        job.seen.get_or_insert(now);
-                    }
-                    if let Some(leader) = leader.as_mut()
-                        && let Some(job) = view.jobs.get(&id)
-                        && job.end.is_none()
-                    {
-                        leader.enter_job(&id, job, now);
-                        self.work.set();
-                    }
+                    self.on_job_change(&mut view, leader.as_mut(), &id, now);
                 }
                 Some(view::Change::End(id)) => {
                     if let Some(leader) = leader.as_mut()
@@ -218,16 +205,12 @@
                     }
                 }
                 Some(view::Change::Leader) => self.leader_moved.set(),
-                Some(view::Change::StepDownRequest(step_down_request)) => {
-                    let deaf_s = self.config.deployment.workers.report_s * DEAF_REPORTS;
-                    if let Some(leader) = leader.as_mut()
-                        && leader.token == step_down_request.token
+                Some(view::Change::StepDownRequest(request)) => {
+                    if let Some(leader) = leader.as_ref()
+                        && leader.token == request.token
+                        && self.hears_no_worker(leader, now)
                     {
-                        let many = leader.fleet.machines.len() >= DEAF_MACHINES;
-                        let deaf_s = if many { deaf_s.min(DEAF_S_MAX) } else { deaf_s };
-                        if now - leader.last_report > deaf_s {
-                            self.resign.set();
-                        }
+                        self.resign.set();
                     }
                 }
                 Some(view::Change::Relay(record)) => {
@@ -238,27 +221,59 @@
                 }
                 Some(view::Change::Types) | None => {}
             }
-            let moved = view.take_changes(now);
-            for id in &moved.ready {
-                if let Some(spec) = view.jobs.get(id).and_then(|j| j.spec.as_ref()) {
-                    self.expected.borrow_mut().note(spec, now);
-                }
-                if let Some(leader) = leader.as_mut() {
-                    leader.on_ready(id, now);
-                    self.work.set();
-                }
-            }
-            for id in &moved.cancelled {
-                if let Some(leader) = leader.as_mut() {
-                    leader.on_need_cancelled(id);
-                    self.work.set();
-                }
-            }
+            self.on_readiness_changes(&mut view, leader.as_mut(), now);
         }
         view.revision = view.revision.max(events.revision);
         self.moved.beat();
     }
 
+    /// A job was stored, or its record was cleared away.
+    fn on_job_change(&self, view: &mut View, leader: Option<&mut Leader>, id: &Rc<str>, now: Time) {
+        let Some(job) = view.jobs.get_mut(id) else {
+            return;
+        };
+        if let Some(spec) = &job.spec {
+            if !job.waits {
+                self.expected.borrow_mut().note(spec, now);
+            }
+            job.seen.get_or_insert(now);
+        }
+        if let Some(leader) = leader
+            && job.end.is_none()
+        {
+            leader.enter_job(id, job, now);
+            self.work.set();
+        }
+    }
+
+    /// Whether this leader hears no worker, which others ask it to give way for.
+    fn hears_no_worker(&self, leader: &Leader, now: Time) -> bool {
+        let deaf_s = self.config.deployment.workers.report_s * DEAF_REPORTS;
+        let many = leader.fleet.machines.len() >= DEAF_MACHINES;
+        let deaf_s = if many { deaf_s.min(DEAF_S_MAX) } else { deaf_s };
+        now - leader.last_report > deaf_s
+    }
+
+    /// Jobs wait for nothing any more, or are cancelled as one that they need is.
+    fn on_readiness_changes(&self, view: &mut View, mut leader: Option<&mut Leader>, now: Time) {
+        let changes = view.take_changes(now);
+        for id in &changes.ready {
+            if let Some(spec) = view.jobs.get(id).and_then(|j| j.spec.as_ref()) {
+                self.expected.borrow_mut().note(spec, now);
+            }
+            if let Some(leader) = leader.as_mut() {
+                leader.on_ready(id, now);
+                self.work.set();
+            }
+        }
+        for id in &changes.cancelled {
+            if let Some(leader) = leader.as_mut() {
+                leader.on_need_cancelled(id);
+                self.work.set();
+            }
+        }
+    }
+
     /// Until the machine types are known, nothing can be decided.
     pub(super) async fn types_duty(self: Rc<Self>) {
         let pause = self.config.deployment.workers.report_s * 0.25;
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -28,59 +28,11 @@
             .leader
             .as_ref()
             .map(|(r, token)| (r.host.clone(), *token));
+        self.note_seen(&report, now);
+        if let Some(token) = self.acting().filter(|t| report.token <= *t)
+            && let Some(answer) = self.answer_as_leader(&report, token, now).await
         {
-            let mut seen = self.seen.borrow_mut();
-            let entry = seen.entry(report.machine.clone()).or_insert_with(|| Seen {
-                at: now,
-                redirected: None,
-                unreachable_since: None,
-                worker: WorkerSeen {
-                    machine: report.machine.clone(),
-                    zone: report.zone.clone(),
-                    addr: report.addr.clone(),
-                    session: report.session,
-                },
-            });
-            entry.at = now;
-            entry.worker.session = report.session;
-        }
-        if let Some(token) = self.acting().filter(|t| report.token <= *t) {
-            let taken = self.with_lead(token, |leader| {
-                leader.last_report = now;
-                let commands = leader.on_report(&report, Source::Checkin, now);
-                (commands, leader.has_work_waiting())
-            });
-            if let Some((None, _)) = taken {
-                // Nothing new: perhaps a late copy, perhaps a report that an answer to a direct message
-                // overtook. It renews the lease in that case, so it must not go without the stops of what
-                // is over; these do no harm to a worker that gave up on it.
-                let commands = stops(&report, |task| self.is_over(task));
-                return Response::json(200, &ReportReply { token, commands });
-            }
-            if let Some((Some(mut commands), work_waits)) = taken {
-                self.work.set();
-                if work_waits {
-                    // What this report makes room for can go out with its answer, once stored.
-                    let hold = self.config.deployment.workers.report_s * HOLD_REPORTS;
-                    let _ = self.rt.timeout(hold, self.round.next()).await;
-                }
-                let now = self.now();
-                let answered = self.with_lead(token, |leader| {
-                    if leader.lets_lapse(&report.machine, now) {
-                        return false;
-                    }
-                    if !leader.answer_commands(&report, &mut commands) {
-                        commands.extend(stops(&report, |task| self.is_over(task)));
-                    }
-                    true
-                });
-                return match answered {
-                    Some(true) => Response::json(200, &ReportReply { token, commands }),
-                    // What may yet start there must not: its worker's lease is to run out.
-                    Some(false) => Response::later(503, "the lease runs out", RETRY_S),
-                    None => Response::later(503, "no longer leading", RETRY_S),
-                };
-            }
+            return answer;
         }
         match leader {
             Some((host, token)) if host != self.config.node => {
@@ -99,6 +51,61 @@
         }
     }
 
+    fn note_seen(&self, report: &Report, now: Time) {
+        let mut seen = self.seen.borrow_mut();
+        let entry = seen.entry(report.machine.clone()).or_insert_with(|| Seen {
+            at: now,
+            redirected: None,
+            unreachable_since: None,
+            worker: WorkerSeen {
+                machine: report.machine.clone(),
+                zone: report.zone.clone(),
+                addr: report.addr.clone(),
+                session: report.session,
+            },
+        });
+        entry.at = now;
+        entry.worker.session = report.session;
+    }
+
+    /// None: this node does not lead with that token any more.
+    async fn answer_as_leader(&self, report: &Report, token: u64, now: Time) -> Option<Response> {
+        let (commands, work_waits) = self.with_lead(token, |leader| {
+            leader.last_report = now;
+            let commands = leader.on_report(report, Source::Checkin, now);
+            (commands, leader.has_work_waiting())
+        })?;
+        let Some(mut commands) = commands else {
+            // Nothing new: perhaps a late copy, perhaps a report that an answer to a direct message
+            // overtook. It renews the lease in that case, so it must not go without the stops of what
+            // is over; these do no harm to a worker that gave up on it.
+            let commands = stops(report, |task| self.is_over(task));
+            return Some(Response::json(200, &ReportReply { token, commands }));
+        };
+        self.work.set();
+        if work_waits {
+            // What this report makes room for can go out with its answer, once stored.
+            let hold = self.config.deployment.workers.report_s * HOLD_REPORTS;
+            let _ = self.rt.timeout(hold, self.round.next()).await;
+        }
+        let now = self.now();
+        let answered = self.with_lead(token, |leader| {
+            if leader.lets_lapse(&report.machine, now) {
+                return false;
+            }
+            if !leader.answer_commands(report, &mut commands) {
+                commands.extend(stops(report, |task| self.is_over(task)));
+            }
+            true
+        });
+        Some(match answered {
+            Some(true) => Response::json(200, &ReportReply { token, commands }),
+            // What may yet start there must not: its worker's lease is to run out.
+            Some(false) => Response::later(503, "the lease runs out", RETRY_S),
+            None => Response::later(503, "no longer leading", RETRY_S),
+        })
+    }
+
     /// Workers that know the leader's token, or were told where the leader is, and come here all
     /// the same could not reach it.
     pub(super) fn note_redirect(&self, report: &Report, token: u64, now: Time) {
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -138,8 +138,13 @@
                 return Response::error(422, &reason);
             }
         }
+        self.store_submission(&job).await
+    }
+
+    /// Stores a new job; what its user is told.
+    async fn store_submission(&self, job: &Submission) -> Response {
         let state = &self.config.deployment.state;
-        let Some(txn) = creation(&job, self.rt.unix_ms(), state) else {
+        let Some(txn) = creation(job, self.rt.unix_ms(), state) else {
             return Response::error(422, TOO_LARGE);
         };
         match self.user_write(&txn).await {
@@ -147,7 +152,7 @@
             Some(TxnOutcome::Applied(_)) => self.final_state(&job.id, 200).unwrap_or_else(|| {
                 // One that names a cancelled job is accepted, and cancelled from the start.
                 let mut fresh = JobView::default();
-                fresh.needs_cancelled = self.needs_cancelled(&job);
+                fresh.needs_cancelled = self.needs_cancelled(job);
                 Response::json(201, &fresh.status(&job.id))
             }),
             Some(TxnOutcome::Conflict(_)) if self.barrier().await => self.tell(&job.id, 200),
