--- a/src/api.rs
+++ b/src/api.rs
@@ -61,7 +61,7 @@
     Ok(job)
 }
 
-/// ExitReason a job can never run, if it can't.
+/// Why a job can never run, if it can't.
 pub fn never_runs(job: &Submission, config: &Config, types: &[MachineType]) -> Option<String> {
     let Some(team) = config.team(&job.team) else {
         return Some(format!("unknown team {}", job.team));
--- a/src/autoscale/demand.rs
+++ b/src/autoscale/demand.rs
@@ -9,6 +9,7 @@
     tasks_that_fit,
 };
 use crate::arrivals::class_name;
+use crate::config::ObjectiveKind;
 use crate::jobs::Job;
 use crate::leader::Leader;
 use crate::rt::Time;
@@ -26,9 +27,9 @@
             .deployment
             .objectives
             .iter()
-            .filter(|o| match o.kind.as_str() {
-                "wait" => o.class.as_deref() == Some(&spec.class),
-                "guarantee" => team_has_guarantee,
+            .filter(|o| match o.kind {
+                ObjectiveKind::Wait => o.class.as_deref() == Some(&spec.class),
+                ObjectiveKind::Guarantee => team_has_guarantee,
                 _ => false,
             })
             .filter_map(|o| o.within_s)
@@ -46,8 +47,8 @@
             .iter()
             .filter_map(|o| {
                 let within = o.done_within(&usual)?;
-                Some(match o.kind.as_str() {
-                    "deadline" => (within - run_s).max(run_s * DEADLINE_SLACK_MIN),
+                Some(match o.kind {
+                    ObjectiveKind::Deadline => (within - run_s).max(run_s * DEADLINE_SLACK_MIN),
                     _ => within,
                 })
             })
--- a/src/config.rs
+++ b/src/config.rs
@@ -9,18 +9,34 @@
 
 use crate::wire::Submission;
 
-/// ExitReason settings can't be used.
+/// Why settings can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
+    /// The file can't be read.
     #[error("{path}: {source}")]
     Read {
+        /// The file.
         path: String,
+        /// What the system says.
         source: std::io::Error,
     },
+    /// The file is not what the settings look like.
     #[error("{path}: {message}")]
-    Toml { path: String, message: String },
+    Toml {
+        /// The file.
+        path: String,
+        /// What is wrong, and in which line.
+        message: String,
+    },
+    /// A value can't be.
     #[error("{field}: {problem}")]
-    Value { field: String, problem: String },
+    Value {
+        /// The field.
+        field: String,
+        /// What is wrong with it.
+        problem: String,
+    },
+    /// The operators' script fails.
     #[error("script: {0}")]
     Script(String),
 }
@@ -35,10 +51,13 @@
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
+    /// Its name.
     #[serde(rename = "host_name")]
     pub name: String,
+    /// Its zone.
     #[serde(rename = "domain", default)]
     pub zone: String,
+    /// Where it listens for other controllers.
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
 }
@@ -46,32 +65,60 @@
 /// Addresses of the services used.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Services {
+    /// The cloud that rents machines.
     pub cloud: SocketAddr,
+    /// The state service.
     pub state: SocketAddr,
 }
 
 /// A team's guarantee and limit; 0 means none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
+    /// Its name, as submissions give it.
     pub name: String,
+    /// CPUs that it need not wait for.
     #[serde(default)]
     pub cpus: f64,
+    /// CPUs that its tasks may use at any moment.
     #[serde(default)]
     pub cpus_max: f64,
+    /// GPUs that it need not wait for.
     #[serde(default)]
     pub gpus: f64,
+    /// GPUs that its tasks may use at any moment.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
+/// What an objective measures.
+#[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum ObjectiveKind {
+    /// How soon tasks start.
+    Wait,
+    /// How soon jobs are done.
+    Finished,
+    /// Whether jobs are done by their own deadlines.
+    Deadline,
+    /// How soon tasks of jobs within their team's guarantee start.
+    Guarantee,
+    /// A kind that this version does not use.
+    #[serde(untagged)]
+    Other(String),
+}
+
 /// What is expected of a class of jobs. Kinds this version does not use are kept unread.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    pub kind: String,
+    /// What is measured.
+    pub kind: ObjectiveKind,
+    /// The class of jobs that it is about; none: all.
     #[serde(default)]
     pub class: Option<String>,
+    /// The time within which it should be.
     #[serde(default)]
     pub within_s: Option<f64>,
+    /// The share of jobs or tasks for which it should hold.
     #[serde(default)]
     pub share: Option<f64>,
     /// Of kind `deadline`: within so many times a job's own deadline.
@@ -86,10 +133,10 @@
         if self.class.as_deref() != Some(&job.class) {
             return None;
         }
-        match self.kind.as_str() {
-            "finished" => self.within_s,
-            "deadline" => Some(job.deadline_s? * self.times.unwrap_or(1.0)),
-            _ => None,
+        match self.kind {
+            ObjectiveKind::Finished => self.within_s,
+            ObjectiveKind::Deadline => Some(job.deadline_s? * self.times.unwrap_or(1.0)),
+            ObjectiveKind::Wait | ObjectiveKind::Guarantee | ObjectiveKind::Other(_) => None,
         }
     }
 }
@@ -97,19 +144,28 @@
 /// The workers' times.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
+    /// Interval of a worker's reports.
     pub report_s: f64,
+    /// After so long without an answered report a worker ends its tasks.
     pub lease_s: f64,
+    /// How long a task of a gang waits for the others.
     pub gang_wait_s: f64,
+    /// Within what time the tasks of a gang notice that one is gone.
     pub gang_peer_s: f64,
+    /// Within what time the tasks of a cancelled job must be gone.
     pub cancel_s: f64,
 }
 
 /// The state service's limits.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
+    /// Requests a second.
     pub rps: f64,
+    /// Changes a second.
     pub write_rps: f64,
+    /// Size of a value in KiB.
     pub value_kb: f64,
+    /// Changes of a transaction.
     pub txn_ops: usize,
     /// Limits that hold from some moment on, without notice.
     #[serde(default)]
@@ -119,9 +175,13 @@
 /// Coming limits of the state service; what is absent stays.
 #[derive(Debug, Clone, Deserialize)]
 pub struct NextStateLimits {
+    /// Requests a second.
     pub rps: Option<f64>,
+    /// Changes a second.
     pub write_rps: Option<f64>,
+    /// Size of a value in KiB.
     pub value_kb: Option<f64>,
+    /// Changes of a transaction.
     pub txn_ops: Option<usize>,
 }
 
@@ -144,50 +204,71 @@
 /// The cloud's limits.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
+    /// Calls a second.
     pub rps: f64,
+    /// By how much the list of machines lags behind.
     pub list_lag_s: f64,
 }
 
 /// The limits of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Limits {
+    /// Share of a processor core.
     pub cores: f64,
+    /// Memory in MB.
     pub ram_mb: f64,
+    /// Open sockets.
     pub max_sockets: usize,
 }
 
 /// The deployment's figures.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
+    /// How many controllers there are.
     #[serde(rename = "count")]
     pub nodes: usize,
+    /// The zones.
     #[serde(default)]
     pub zones: Vec<String>,
+    /// The teams.
     #[serde(default)]
     pub teams: Vec<Team>,
+    /// What is expected of classes of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
+    /// The workers' times.
     pub workers: Workers,
+    /// The state service's limits, the smaller of those now and to come.
     pub state: StateLimits,
+    /// The cloud's limits.
     pub cloud: CloudLimits,
+    /// The limits of this process.
     pub limits: Limits,
 }
 
 /// Everything that is in force.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Config {
+    /// The name of this controller.
     #[serde(rename = "host_name")]
     pub node: String,
+    /// Its zone.
     #[serde(rename = "domain", default)]
     pub zone: String,
+    /// Where users and workers reach it.
     #[serde(rename = "front")]
     pub listen: SocketAddr,
+    /// Where other controllers reach it.
     #[serde(rename = "cluster_listen")]
     pub peer_listen: SocketAddr,
+    /// The other controllers.
     #[serde(rename = "known", default)]
     pub peers: Vec<Peer>,
+    /// Addresses of the services used.
     pub services: Services,
+    /// The deployment's figures.
     pub deployment: Deployment,
+    /// What operators may tune.
     #[serde(skip)]
     pub tunables: Tunables,
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -138,3 +138,18 @@
         assert!(!error.contains('\n'), "{error}");
     }
 }
+
+#[test]
+fn objectives_of_unknown_kinds_are_kept() {
+    for (text, kind) in [
+        ("finished", ObjectiveKind::Finished),
+        ("deadline", ObjectiveKind::Deadline),
+        ("wait", ObjectiveKind::Wait),
+        ("guarantee", ObjectiveKind::Guarantee),
+        ("makespan", ObjectiveKind::Other("makespan".into())),
+    ] {
+        let text = SAMPLE.replacen("kind = \"finished\"", &format!("kind = \"{text}\""), 1);
+        let config = Config::parse(&text, "file").unwrap();
+        assert_eq!(config.deployment.objectives[0].kind, kind);
+    }
+}
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -137,8 +137,6 @@
     pub answered: Option<Time>,
     /// Whether that was not the first one.
     answered_before: bool,
-    /// When this leader came to know it.
-    pub since: Time,
     /// When it was rented, as far as known.
     pub rented: Time,
     /// When the list first showed it running.
@@ -203,7 +201,6 @@
             met: None,
             answered: None,
             answered_before: false,
-            since: now,
             rented: now,
             listed_running: None,
             listed_at: None,
--- a/src/graph.rs
+++ b/src/graph.rs
@@ -105,6 +105,7 @@
     }
 
     /// Whether a job waits for others.
+    #[cfg(test)]
     pub fn is_waiting(&self, id: &str) -> bool {
         self.open.contains_key(id)
     }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// ExitReason a call brought no answer.
+/// Why a call brought no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// Nothing was sent: the request was surely not carried out.
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -58,8 +58,6 @@
     pub ended: Option<End>,
     /// Whether the end, if any, is stored.
     pub end_stored: bool,
-    /// Whether the end waits to be written.
-    pub end_queued: bool,
     /// Not to be placed before this moment.
     pub not_before: Time,
     /// Machines on which its tasks failed since one completed.
@@ -92,7 +90,6 @@
             bound: 0,
             ended: None,
             end_stored: false,
-            end_queued: false,
             not_before: 0.0,
             failed_on: HashSet::new(),
             failed_now: HashSet::new(),
@@ -150,11 +147,6 @@
         }
     }
 
-    /// Puts a task that was taken but not bound back.
-    pub fn give_back(&mut self, task: u32) {
-        self.again.push(task);
-    }
-
     /// Notes that a task is to go to a machine, or may be there: `told` by this value of the log.
     pub fn bind(&mut self, task: u32, machine: MachineIndex, attempt: u64, told: u64) {
         self.tasks[task as usize] = Task::Bound {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,32 +1,34 @@
 //! capervale, a cluster scheduler: controllers take users' jobs, rent machines, command workers
 //! and keep all state in a state service.
 //!
-//! The core ([`leader::Leader`] with [`fleet`], [`scheduler`], [`autoscale`] and [`pricing`], and
-//! [`view::View`]) is made of state machines without input or output; the routines of [`node`]
-//! do that around them.
+//! The core (the `leader` with `fleet`, `scheduler`, `autoscale` and `pricing`, and the `view` of what is stored) is
+//! made of state machines without input or output; the routines of [`node`] do that around them.
 
-pub mod api;
-pub mod arrivals;
-pub mod assignment_log;
-pub mod autoscale;
-pub mod cluster;
+#![warn(missing_docs)]
+#![cfg_attr(not(test), warn(clippy::too_many_lines))]
+
+pub(crate) mod api;
+pub(crate) mod arrivals;
+pub(crate) mod assignment_log;
+pub(crate) mod autoscale;
+pub(crate) mod cluster;
 pub mod config;
-pub mod election;
-pub mod fleet;
-pub mod graph;
-pub mod http;
-pub mod images;
-pub mod jobs;
-pub mod leader;
+pub(crate) mod election;
+pub(crate) mod fleet;
+pub(crate) mod graph;
+pub(crate) mod http;
+pub(crate) mod images;
+pub(crate) mod jobs;
+pub(crate) mod leader;
 pub mod node;
-pub mod picker;
+pub(crate) mod picker;
 pub(crate) mod preempt;
-pub mod pricing;
-pub mod rt;
-pub mod scheduler;
-pub mod store;
-pub mod view;
-pub mod wire;
+pub(crate) mod pricing;
+pub(crate) mod rt;
+pub(crate) mod scheduler;
+pub(crate) mod store;
+pub(crate) mod view;
+pub(crate) mod wire;
 pub(crate) mod zones;
 
 #[cfg(test)]
--- a/src/node.rs
+++ b/src/node.rs
@@ -117,15 +117,20 @@
 /// Largest answer taken from the cloud or a worker.
 const OUTSIDE_BODY_MAX: usize = 1024 * 1024;
 
-/// ExitReason a controller could not start.
+/// Why a controller could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
+    /// An address can't be listened at.
     #[error("{what} {addr}: {source}")]
     Listen {
+        /// The name of the setting.
         what: &'static str,
+        /// The address.
         addr: SocketAddr,
+        /// What the system says.
         source: io::Error,
     },
+    /// The event loop can't run.
     #[error(transparent)]
     Loop(#[from] calloop::Error),
 }
--- a/src/node/tests/faults.rs
+++ b/src/node/tests/faults.rs
@@ -159,7 +159,7 @@
 
 /// Work that is to start at once is launched directly.
 fn direct(config: &mut Config) {
-    config.deployment.objectives[0].kind = "wait".into();
+    config.deployment.objectives[0].kind = crate::config::ObjectiveKind::Wait;
     config.deployment.objectives[0].within_s = Some(1.0);
 }
 
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -171,7 +171,7 @@
         needs.any(|need| need.status("").state == JobState::Cancelled)
     }
 
-    /// ExitReason a job could never begin for what it waits on, if so.
+    /// Why a job could never begin for what it waits on, if so.
     fn waits_in_vain(&self, job: &Submission) -> Option<String> {
         let view = self.view.borrow();
         job.waits_on.iter().find_map(|id| {
--- a/src/pricing.rs
+++ b/src/pricing.rs
@@ -129,6 +129,7 @@
 
     /// Chooses for a task of size `demand`, worth `weight`, among the allowed machines: the index
     /// of the machine and its price afterwards. None if no machine has room at a cost below 1.
+    #[cfg(test)]
     pub fn choose(
         &self,
         demand: Amount,
--- a/src/rt.rs
+++ b/src/rt.rs
@@ -146,6 +146,7 @@
     }
 
     /// Ends the loop, and with it all routines, after the present turn.
+    #[cfg(test)]
     pub fn stop(&self) {
         self.0.over.set(true);
     }
@@ -391,6 +392,7 @@
 
 impl Listener {
     /// Where it listens.
+    #[cfg(test)]
     pub fn addr(&mut self) -> io::Result<SocketAddr> {
         match &mut self.0 {
             Source::Socket(io, _) => io.get_mut().local_addr(),
--- a/src/scheduler/order.rs
+++ b/src/scheduler/order.rs
@@ -1,6 +1,7 @@
 //! The order in which jobs are placed.
 
 use super::*;
+use crate::config::ObjectiveKind;
 
 /// Run times of tasks vary: so much of the mean is reckoned with.
 const RUN_MARGIN: f64 = 1.3;
@@ -25,12 +26,12 @@
         let mut longest: f64 = 0.0;
         for o in &self.config.deployment.objectives {
             let own = o.class.as_deref() == Some(&job.spec.class);
-            let (within, takes_s) = match (o.kind.as_str(), o.within_s) {
-                ("wait", Some(within)) if own => (within, 0.0),
-                ("guarantee", Some(within)) if guaranteed => (within, 0.0),
+            let (within, takes_s) = match (&o.kind, o.within_s) {
+                (ObjectiveKind::Wait, Some(within)) if own => (within, 0.0),
+                (ObjectiveKind::Guarantee, Some(within)) if guaranteed => (within, 0.0),
                 (kind, _) => match o.done_within(&job.spec) {
                     // A deadline comes from its owner's estimate, which tells of this job.
-                    Some(within) if kind == "deadline" => {
+                    Some(within) if *kind == ObjectiveKind::Deadline => {
                         (within, (run_s * job.spec.estimate_s.max(0.0)).sqrt())
                     }
                     Some(within) => (within, run_s),
@@ -39,7 +40,7 @@
             };
             longest = longest.max(within);
             // An owner's deadline counts from the submission, however long the job waited.
-            let from = if o.kind == "deadline" {
+            let from = if o.kind == ObjectiveKind::Deadline {
                 job.submitted
             } else {
                 job.since
--- a/src/store.rs
+++ b/src/store.rs
@@ -10,7 +10,7 @@
 use crate::rt::{Bucket, Rt};
 use crate::wire::{Events, KeyPage, KeyValue, LeaseAsk, LeaseGrant, Txn, TxnReply, path};
 
-/// ExitReason the state service gave no use.
+/// Why the state service gave no use.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     #[error("refused with status {0}")]
--- a/src/tests/scenarios/direct.rs
+++ b/src/tests/scenarios/direct.rs
@@ -21,7 +21,7 @@
     let mut leader = store.elect("n0", 0.0);
     let mut config = (*leader.config).clone();
     config.deployment.objectives.push(Objective {
-        kind: "wait".into(),
+        kind: crate::config::ObjectiveKind::Wait,
         class: Some("hasty".into()),
         within_s: Some(2.0),
         share: None,
--- a/src/tests/scenarios/order.rs
+++ b/src/tests/scenarios/order.rs
@@ -198,7 +198,7 @@
     let mut config = (*leader.config).clone();
     config.deployment.objectives = [(1.0, 0.9), (1.5, 0.98)]
         .map(|(times, share)| Objective {
-            kind: "deadline".into(),
+            kind: crate::config::ObjectiveKind::Deadline,
             class: Some("lists".into()),
             within_s: None,
             share: Some(share),
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -161,7 +161,7 @@
     Exited,
 }
 
-/// ExitReason a task ended.
+/// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
     #[serde(rename = "done")]
