--- a/src/rt.rs
+++ b/src/rt.rs
@@ -119,7 +119,7 @@
 
 impl Rt {
     /// Makes the loop, hands its handle to `setup`, which starts the first routines, and serves until
-    /// [`Rt::stop`] or an error of the loop itself.
+    /// its end or an error of the loop itself.
     pub fn run<E: From<calloop::Error>>(
         setup: impl FnOnce(&Rt) -> Result<Scope, E>,
     ) -> Result<(), E> {
--- a/src/view/records.rs
+++ b/src/view/records.rs
@@ -45,7 +45,7 @@
     /// Time of day, in milliseconds: a new leader counts deadlines from then.
     #[serde(rename = "AtMs", default, skip_serializing_if = "Option::is_none")]
     pub at_ms: Option<u64>,
-    /// Values under [`key::needs`] with the rest of the jobs that it waits on: a value's size is limited.
+    /// Values under [`super::key::needs`] with the rest of the jobs that it waits on: a value's size is limited.
     #[serde(rename = "Parts", default, skip_serializing_if = "is_none")]
     pub parts: u32,
 }
