--- a/src/node/tests/chains.rs
+++ b/src/node/tests/chains.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use super::world::{NODES, World, play};
+use super::world::{NODES, World, begin, plain, play};
 use crate::config::{Config, NextStateLimits};
 use crate::testing::job;
 use crate::view::key;
@@ -16,15 +16,6 @@
     }
 }
 
-fn plain(_: &mut Config) {}
-
-async fn begin(w: &Rc<World>, machines: usize) {
-    for i in 0..machines {
-        w.boot(["north", "south"][i % 2]);
-    }
-    w.start_led_by(0).await;
-}
-
 /// Two ways from the first to the last of four jobs, submitted one after the other at different nodes.
 async fn submit_diamond(w: &World, run_s: f64) {
     for (i, spec) in [
--- a/src/node/tests/world.rs
+++ b/src/node/tests/world.rs
@@ -64,6 +64,17 @@
     pub services: Scope,
 }
 
+/// The settings as they are.
+pub fn plain(_: &mut Config) {}
+
+/// Machines in turn in the zones, and controllers led by the first.
+pub async fn begin(w: &Rc<World>, machines: usize) {
+    for i in 0..machines {
+        w.boot(["north", "south"][i % 2]);
+    }
+    w.start_led_by(0).await;
+}
+
 /// Plays a script; all rules must have held, and all that was accepted must be over or known, when it ends.
 pub fn play<F: Future<Output = ()> + 'static>(
     shape: impl FnOnce(&mut Config),
--- /dev/null
+++ b/src/tests/random_faults/leaders.rs
@@ -0,0 +1,228 @@
+//! Who leads, and what leaders send.
+
+use super::*;
+
+impl World {
+    pub(super) fn hold_office(&mut self) {
+        if self.now < self.outage_until {
+            // Afterwards every lease has its full time again.
+            if let Some((.., until)) = &mut self.office {
+                *until = self.outage_until + self.life_s;
+            }
+            return;
+        }
+        if self.office.is_some_and(|(.., until)| until < self.now) {
+            self.store.revision += 1;
+            self.store.keys.remove(&key::leader());
+            self.office = None;
+        }
+        for at in 0..NODES {
+            let node = &self.nodes[at];
+            let Some(token) = node.leader.as_ref().map(|l| l.token) else {
+                continue;
+            };
+            if node.paused_until > self.now || node.renew_at > self.now {
+                continue;
+            }
+            let lost = self.trouble(0.1);
+            let (now, trusted_s, life_s) = (self.now, self.trusted_s, self.life_s);
+            let node = &mut self.nodes[at];
+            node.renew_at = now + life_s / 4.0;
+            match &mut self.office {
+                _ if lost => {}
+                Some((_, t, until)) if *t == token => {
+                    *until = now + life_s;
+                    node.trusted_until = now + trusted_s;
+                }
+                _ => node.leader = None,
+            }
+        }
+        let at = self.rng.random_range(0..NODES);
+        let able = |n: &Node| n.down_until <= self.now && n.paused_until <= self.now;
+        if self.office.is_none() && able(&self.nodes[at]) {
+            let (config, host) = (self.config.clone(), format!("n{at}"));
+            let mut leader = self.store.elect_with(config, &host, self.now);
+            if self.broken == Broken::Lease {
+                leader.off_after_s = self.lease_s * 0.2;
+            }
+            for (name, w) in &self.workers {
+                let r = &w.fake.report;
+                leader.call_on(name, &r.zone, &r.addr, r.session, self.now);
+            }
+            self.office = Some((at, leader.token, self.now + self.life_s));
+            self.nodes[at] = Node {
+                trusted_until: self.now + self.trusted_s,
+                leader: Some(leader),
+                ..Node::default()
+            };
+        }
+    }
+
+    /// The leader's state of a node, if it may act now.
+    pub(super) fn acting(&mut self, at: usize) -> Option<&mut Leader> {
+        let now = self.now;
+        let node = &mut self.nodes[at];
+        let able = node.down_until <= now && node.paused_until <= now && now < node.trusted_until;
+        node.leader.as_mut().filter(|_| able)
+    }
+
+    pub(super) fn do_duty(&mut self, at: usize) {
+        let now = self.now;
+        let tends = self.nodes[at].tend_at <= now;
+        let calls = self.nodes[at].cloud_at <= now;
+        let writing = self.nodes[at].writing;
+        let forgets = self.broken == Broken::StandIns;
+        let Some(leader) = self.acting(at) else {
+            return;
+        };
+        let token = leader.token;
+        if forgets {
+            leader.zones.forget_delegations();
+        }
+        if tends {
+            leader.tend(now);
+        }
+        leader.plan(now);
+        let messages = leader.directs(now, 1.5, 8);
+        let txn = if writing { None } else { leader.next_txn(now) };
+        let call = if calls {
+            leader.next_cloud_call(now)
+        } else {
+            None
+        };
+        let names: Vec<String> = messages
+            .iter()
+            .map(|m| leader.fleet.machines[&m.machine].name.to_string())
+            .collect();
+        if tends {
+            self.nodes[at].tend_at = now + 0.5;
+        }
+        if calls {
+            self.nodes[at].cloud_at = now + 1.0;
+        }
+        for (message, name) in messages.into_iter().zip(names) {
+            self.send_direct(at, token, name, message);
+        }
+        if let Some(txn) = txn {
+            self.nodes[at].writing = true;
+            self.send_txn(at, token, txn);
+        }
+        if let Some(call) = call {
+            let answer = self.answer_cloud(&call);
+            let failed = self.trouble(0.15);
+            let answer = if failed { CloudAnswer::Failed } else { answer };
+            if let Some(leader) = self.acting(at) {
+                leader.on_cloud(call, answer, now);
+            }
+        }
+    }
+
+    pub(super) fn send_direct(
+        &mut self,
+        from: usize,
+        token: u64,
+        name: String,
+        message: DirectMessage,
+    ) {
+        let lost = self.trouble(0.05);
+        let held = self.held(from, &name);
+        let late = self.trouble(0.08) || held > 0.0;
+        let copied = self.trouble(0.15);
+        let machine = message.machine;
+        let direct = |answered| Post::Direct {
+            from,
+            token,
+            name: name.clone(),
+            message: message.clone(),
+            answered,
+        };
+        let (answered, copy) = (direct(true), direct(false));
+        if lost || late {
+            let outcome = DirectOutcome::Unknown;
+            self.send(
+                DIRECT_S,
+                Post::Directed {
+                    node: from,
+                    token,
+                    machine,
+                    outcome,
+                },
+            );
+        } else {
+            let after = self.within(0.01, 0.4);
+            self.send(after, answered);
+        }
+        if late || copied {
+            let after = held + self.within(1.0, 60.0);
+            self.send(after, copy);
+        }
+    }
+
+    pub(super) fn send_txn(&mut self, node: usize, token: u64, txn: Rc<Txn>) {
+        let lost = self.trouble(0.05);
+        let late = self.trouble(0.05);
+        let copied = self.trouble(0.15);
+        let write = |answered| Post::Write {
+            node,
+            token,
+            txn: txn.clone(),
+            answered,
+        };
+        let (answered, copy) = (write(true), write(false));
+        if lost || late {
+            let outcome = TxnOutcome::Unknown;
+            self.send(
+                1.0,
+                Post::Written {
+                    node,
+                    token,
+                    outcome,
+                },
+            );
+        } else {
+            let after = self.within(0.01, 0.3);
+            self.send(after, answered);
+        }
+        if late || copied {
+            let after = self.within(0.5, 60.0);
+            self.send(after, copy);
+        }
+    }
+
+    pub(super) fn answer_cloud(&mut self, call: &CloudCall) -> CloudAnswer {
+        match call {
+            CloudCall::Types => CloudAnswer::Failed,
+            CloudCall::List { .. } => {
+                let listed = self.workers.iter().map(|(name, w)| ListedMachine {
+                    id: name.clone(),
+                    addr: w.fake.report.addr.clone(),
+                    type_name: w.fake.report.type_name.clone(),
+                    zone: w.fake.report.zone.clone(),
+                    spot: false,
+                    state: MachineState::Running,
+                    age_s: self.now,
+                });
+                CloudAnswer::List(listed.collect(), false)
+            }
+            CloudCall::Rent(Rent { request, .. }, _) if self.rented.contains_key(request) => {
+                CloudAnswer::Rented(self.rented[request].clone())
+            }
+            CloudCall::Rent(rent, _) => {
+                let room = self.platform.machines().saturating_sub(self.workers.len());
+                if room == 0 || rent.type_name != "small" {
+                    return CloudAnswer::NoCapacity;
+                }
+                let count = room.min(rent.count as usize);
+                let names: Vec<String> = (0..count).map(|_| self.boot(&rent.zone)).collect();
+                self.rented.insert(rent.request.clone(), names.clone());
+                CloudAnswer::Rented(names)
+            }
+            CloudCall::Delete(names) => {
+                for name in names {
+                    self.workers.remove(name);
+                }
+                CloudAnswer::Deleted
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/tests/random_faults/machines.rs
@@ -0,0 +1,213 @@
+//! What workers do.
+
+use super::*;
+
+impl World {
+    pub(super) fn execute(&mut self, machine: &str, commands: &[Command]) {
+        let now = self.now;
+        let fetch_s = self.within(0.0, 2.0);
+        let Some(w) = self.workers.get_mut(machine) else {
+            return;
+        };
+        for command in commands {
+            let Command::Start { task, attempt } = command else {
+                w.fake
+                    .execute(w.fake.report.token, std::slice::from_ref(command));
+                continue;
+            };
+            let tasks = &mut w.fake.report.tasks;
+            if tasks
+                .iter()
+                .any(|t| t.task == *task && t.attempt == *attempt)
+            {
+                continue;
+            }
+            let alive = |t: &&ReportTask| t.state != TaskState::Exited;
+            let cpus = |name: &str| split_task(name).map_or(0.0, |(id, _)| self.jobs[id].cpus);
+            let used: f64 = tasks.iter().filter(alive).map(|t| cpus(&t.task)).sum();
+            let exit_reason = if tasks.iter().filter(alive).any(|t| t.task == *task) {
+                Some(ExitReason::InUse)
+            } else if used + cpus(task) > 8.0 {
+                Some(ExitReason::Full)
+            } else {
+                None
+            };
+            let state = match exit_reason {
+                Some(_) => TaskState::Exited,
+                None => TaskState::Fetching,
+            };
+            tasks.push(ReportTask {
+                task: task.clone(),
+                attempt: *attempt,
+                state,
+                exit_reason,
+                saved: None,
+            });
+            w.times
+                .insert((task.clone(), *attempt), (now + fetch_s, None));
+        }
+    }
+
+    pub(super) fn run_workers(&mut self) {
+        let now = self.now;
+        let names: Vec<String> = self.workers.keys().cloned().collect();
+        for name in &names {
+            let lease_s = self.lease_s;
+            let Some(w) = self.workers.get_mut(name) else {
+                continue;
+            };
+            if w.hangs_until > now {
+                continue;
+            }
+            w.keep_lease(now, lease_s);
+            self.run_tasks(name);
+            self.report(name);
+        }
+        self.run_gangs();
+    }
+
+    pub(super) fn run_tasks(&mut self, name: &str) {
+        let now = self.now;
+        let run_s = self.within(3.0, 20.0);
+        let w = &self.workers[name];
+        let mut changed = Vec::new();
+        for (at, t) in w.fake.report.tasks.iter().enumerate() {
+            let (ready, end) = w.times[&(t.task.clone(), t.attempt)];
+            let gang = split_task(&t.task).is_some_and(|(id, _)| self.jobs[id].kind == Kind::Gang);
+            match t.state {
+                TaskState::Fetching if ready <= now => {
+                    if let Some(other) = self.elsewhere(name, &t.task) {
+                        let text = format!("{now}: {} on {name} and {other}", t.task);
+                        self.wrong.push(text);
+                    }
+                    if gang {
+                        changed.push((at, TaskState::Waiting, None));
+                    } else {
+                        changed.push((at, TaskState::Running, Some(now + run_s)));
+                    }
+                }
+                TaskState::Running if end.is_some_and(|end| end <= now) && !gang => {
+                    changed.push((at, TaskState::Exited, end));
+                }
+                _ => {}
+            }
+        }
+        for (at, state, end) in changed {
+            let Some(w) = self.workers.get_mut(name) else {
+                return;
+            };
+            let t = &mut w.fake.report.tasks[at];
+            t.state = state;
+            if state == TaskState::Exited {
+                t.exit_reason = Some(ExitReason::Done);
+                self.done.insert(t.task.clone());
+            }
+            if let Some(times) = w.times.get_mut(&(t.task.clone(), t.attempt)) {
+                times.1 = end;
+            }
+            w.report_at = w.report_at.min(now + 0.5);
+        }
+    }
+
+    /// Another machine that has a task: one that hangs within its lease included.
+    pub(super) fn elsewhere(&self, name: &str, task: &str) -> Option<&str> {
+        let has = |w: &Worker| {
+            let here = |t: &ReportTask| t.task == task && on_machine(t.state);
+            w.has_lease(self.now, self.lease_s) && w.fake.report.tasks.iter().any(here)
+        };
+        let mut others = self.workers.iter().filter(|(n, _)| *n != name);
+        others.find(|(_, w)| has(w)).map(|(n, _)| n.as_str())
+    }
+
+    /// The tasks of a gang's attempt start together, end together, and end when one is gone.
+    pub(super) fn run_gangs(&mut self) {
+        let now = self.now;
+        // Of each attempt: the machine, the place in its report, and whether it is able to act.
+        type Members = Vec<(String, usize, bool)>;
+        let mut attempts: BTreeMap<(String, u64), Members> = BTreeMap::new();
+        for (name, w) in &self.workers {
+            for (at, t) in w.fake.report.tasks.iter().enumerate() {
+                let Some((id, _)) = split_task(&t.task) else {
+                    continue;
+                };
+                let live = on_machine(t.state) && w.has_lease(now, self.lease_s);
+                if self.jobs[id].kind == Kind::Gang && live {
+                    let able = w.hangs_until <= now;
+                    attempts
+                        .entry((id.to_owned(), t.attempt))
+                        .or_default()
+                        .push((name.clone(), at, able));
+                }
+            }
+        }
+        for ((id, attempt), members) in attempts {
+            let whole = members.len() == self.jobs[&id].tasks as usize;
+            let able = members.iter().all(|(.., able)| *able);
+            let run_s = self.within(3.0, 20.0);
+            let first = &self.workers[&members[0].0];
+            let task = &first.fake.report.tasks[members[0].1].task;
+            let end = first.times[&(task.clone(), attempt)].1;
+            for (name, at, own) in members {
+                let Some(w) = self.workers.get_mut(&name).filter(|_| own) else {
+                    continue;
+                };
+                let t = &mut w.fake.report.tasks[at];
+                let times = w.times.get_mut(&(t.task.clone(), attempt));
+                match (t.state, end) {
+                    (TaskState::Waiting, _) if whole && able => {
+                        t.state = TaskState::Running;
+                        times.unwrap().1 = Some(now + run_s);
+                    }
+                    (TaskState::Waiting, _) if times.as_ref().unwrap().0 + 50.0 < now => {
+                        t.state = TaskState::Exited;
+                        t.exit_reason = Some(ExitReason::Incomplete);
+                    }
+                    (TaskState::Running, _) if !whole || !able => {
+                        t.state = TaskState::Exited;
+                        t.exit_reason = Some(ExitReason::Peers);
+                    }
+                    (TaskState::Running, Some(end)) if end <= now => {
+                        t.state = TaskState::Exited;
+                        t.exit_reason = Some(ExitReason::Done);
+                        self.done.insert(t.task.clone());
+                    }
+                    _ => continue,
+                }
+                w.report_at = w.report_at.min(now + 0.5);
+            }
+        }
+    }
+
+    pub(super) fn report(&mut self, name: &str) {
+        let now = self.now;
+        let Some(w) = self.workers.get_mut(name) else {
+            return;
+        };
+        if w.waiting.is_some_and(|(_, sent)| now - sent > ANSWER_S) {
+            w.waiting = None;
+            w.node = (w.node + 1) % NODES;
+            w.report_at = now + 1.0;
+        }
+        if w.waiting.is_some() || w.report_at > now {
+            return;
+        }
+        let report = w.fake.next();
+        w.waiting = Some(((report.session, report.seq), now));
+        w.report_at = now + self.config.deployment.workers.report_s;
+        let node = w.node;
+        let copy = Post::Report {
+            node: self.rng.random_range(0..NODES),
+            report: report.clone(),
+            late: true,
+        };
+        if !self.trouble(0.05) {
+            let after = self.held(node, name) + self.within(0.01, 0.3);
+            let late = false;
+            self.send(after, Post::Report { node, report, late });
+        }
+        if self.trouble(0.15) {
+            let after = self.within(1.0, 60.0);
+            self.send(after, copy);
+        }
+    }
+}
