--- a/src/node/tests/versions.rs
+++ b/src/node/tests/versions.rs
@@ -116,6 +116,33 @@
     }
 }
 
+/// Bad requests are refused whoever leads.
+async fn assert_bad_requests_are_refused(w: &World, node: usize) {
+    let spec = Submission {
+        waits_on: vec!["j-100".into()],
+        ..array("j-999", 1, 1.0)
+    };
+    let sent = serde_json::to_string(&spec).unwrap();
+    for (request, status) in [
+        (sent.replace("[\"j-100\"]", "17"), 400),
+        (sent.replace("j-100", "x"), 400),
+        (sent.replace("\"Legs\":1", "\"Legs\":0"), 400),
+        (sent.replace("\"Crew\":\"blue\"", "\"Crew\":\"none\""), 422),
+        (sent.replace("j-100", "j-777777"), 422),
+        (sent.replace("j-100", "j-999"), 422),
+    ] {
+        let mut told = 503;
+        for _ in 0..20 {
+            told = w.send(node, &request).await;
+            if told != 503 {
+                break;
+            }
+            w.run(0.5).await;
+        }
+        assert_eq!(told, status, "n{node}: {request}");
+    }
+}
+
 /// The users of all jobs look, so that what is over is known to be.
 async fn ask_for_all(w: &World) {
     let ids: Vec<String> = w.checks.jobs.borrow().keys().cloned().collect();
@@ -171,6 +198,9 @@
         })
         .await;
         all_say(&w, &cancelled, JobState::Cancelled).await;
+        for node in (0..NODES).filter(|node| mixed[*node] == Version::New) {
+            assert_bad_requests_are_refused(&w, node).await;
+        }
     }
     assert!(oldest_log_value(&w) > 0, "nothing of the log was cleared");
     // The gangs ran on through all of this.
