--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -82,6 +82,21 @@
 }
 
 impl Slot {
+    /// An attempt that this leader decided on, or one that it found.
+    pub(crate) fn new(amount: Amount, inherited: bool, now: Time) -> Self {
+        Slot {
+            amount,
+            inherited,
+            state: None,
+            sent: false,
+            direct: None,
+            stop: None,
+            placed: now,
+            running_since: None,
+            over: false,
+        }
+    }
+
     /// Whether nobody can have launched it.
     pub fn is_unsent(&self) -> bool {
         !self.inherited && !self.sent && self.state.is_none() && !self.in_doubt()
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -249,18 +249,7 @@
             return;
         };
         if !m.slots.contains_key(&key) {
-            let stray = Slot {
-                amount,
-                inherited: true,
-                state: None,
-                sent: false,
-                direct: None,
-                stop: None,
-                placed: now,
-                running_since: None,
-                over: false,
-            };
-            m.add_slot(key, stray);
+            m.add_slot(key, Slot::new(amount, true, now));
             self.slot_added(key.job);
         }
         let Some(m) = self.fleet.machines.get_mut(&index) else {
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -247,17 +247,7 @@
             return;
         };
         job.bind(task, machine, attempt, 0);
-        let slot = Slot {
-            amount: job.amount(),
-            inherited: false,
-            state: None,
-            sent: false,
-            direct: None,
-            stop: None,
-            placed: now,
-            running_since: None,
-            over: false,
-        };
+        let slot = Slot::new(job.amount(), false, now);
         let key = SlotKey {
             job: index,
             task,
--- a/src/leader/job_lifecycle.rs
+++ b/src/leader/job_lifecycle.rs
@@ -92,15 +92,8 @@
         };
         job.bind(key.task, machine, key.attempt, number);
         let slot = Slot {
-            amount: job.amount(),
-            inherited: true,
-            state: None,
-            sent: false,
-            direct: None,
             stop: job.ended.is_some().then_some(0.0),
-            placed: now,
-            running_since: None,
-            over: false,
+            ..Slot::new(job.amount(), true, now)
         };
         if let Some(m) = self.fleet.machines.get_mut(&machine) {
             m.add_slot(key, slot);
--- a/src/node/tests/versions.rs
+++ b/src/node/tests/versions.rs
@@ -293,3 +293,32 @@
     assert_eq!(w.state.too_large.get(), 0);
     assert!(!w.state.store.borrow().keys.contains_key(&key::job("j-12")));
 }
+
+/// Production stores a job that the new version, which keeps to limits to come, would refuse as too large. A new
+/// controller that has not heard of it yet must not refuse its repeated submission.
+#[test]
+fn a_large_job_that_production_accepted_is_known_to_new_controllers() {
+    play(
+        |_| {},
+        async |w: Rc<World>| {
+            w.boot("north");
+            start(&w, 0, Version::Production);
+            w.until("led", 10.0, || w.leader() == Some(0)).await;
+            start(&w, 1, Version::New);
+            w.run(3.0).await;
+            let large = Submission {
+                image: "i".repeat(3000),
+                ..array("j-1", 1, 2.0)
+            };
+            w.state.lines[1].stalled_until.set(w.now() + 0.8);
+            assert_eq!(w.submit(0, &large).await.0, 201);
+            assert_eq!(w.submit(1, &large).await.0, 200);
+            let other = Submission {
+                id: "j-2".into(),
+                ..large
+            };
+            assert_eq!(w.submit(1, &other).await.0, 422);
+            w.see_the_end(60.0).await;
+        },
+    );
+}
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -17,6 +17,7 @@
 
 /// Bytes of a transaction, as the protocol says.
 const TXN_BYTES_MAX: usize = 64 * 1024;
+const NOT_KNOWN_NOW: &str = "state not known now";
 const TOO_LARGE: &str = "larger than the state service can store";
 
 impl Node {
@@ -77,7 +78,7 @@
             return answer;
         }
         if !self.barrier().await {
-            return Response::later(503, "state not known now", RETRY_S);
+            return Response::later(503, NOT_KNOWN_NOW, RETRY_S);
         }
         self.tell(id, 200)
     }
@@ -105,16 +106,10 @@
         let (true, Some(types)) = (self.loaded.get(), types) else {
             return Response::later(503, "not ready", RETRY_S);
         };
-        let known = self
-            .view
-            .borrow()
-            .jobs
-            .get(job.id.as_str())
-            .is_some_and(JobView::is_known);
-        if known {
+        if self.is_known(&job.id) {
             return match self.barrier().await {
                 true => self.tell(&job.id, 200),
-                false => Response::later(503, "state not known now", RETRY_S),
+                false => Response::later(503, NOT_KNOWN_NOW, RETRY_S),
             };
         }
         if let Some(reason) = never_runs(&job, &self.config, &types) {
@@ -123,15 +118,9 @@
         if !job.waits_on.is_empty() {
             // Whether an id was accepted is known only after a read that began after the question came.
             if !self.barrier().await {
-                return Response::later(503, "state not known now", RETRY_S);
+                return Response::later(503, NOT_KNOWN_NOW, RETRY_S);
             }
-            let known = self
-                .view
-                .borrow()
-                .jobs
-                .get(job.id.as_str())
-                .is_some_and(JobView::is_known);
-            if known {
+            if self.is_known(&job.id) {
                 return self.tell(&job.id, 200);
             }
             if let Some(reason) = self.waits_in_vain(&job) {
@@ -145,7 +134,7 @@
     async fn store_submission(&self, job: &Submission) -> Response {
         let state = &self.config.deployment.state;
         let Some(txn) = creation(job, self.rt.unix_ms(), state) else {
-            return Response::error(422, TOO_LARGE);
+            return self.refuse_as_too_large(job).await;
         };
         match self.user_write(&txn).await {
             // While the answer was under way another node may have told its end.
@@ -156,11 +145,27 @@
                 Response::json(201, &fresh.status(&job.id))
             }),
             Some(TxnOutcome::Conflict(_)) if self.barrier().await => self.tell(&job.id, 200),
-            Some(TxnOutcome::TooLarge) => Response::error(422, TOO_LARGE),
+            Some(TxnOutcome::TooLarge) => self.refuse_as_too_large(job).await,
             _ => Response::later(503, "could not be stored now", RETRY_S),
         }
     }
 
+    /// A job that can't be stored now may have been accepted a moment ago, by a controller that stores larger values.
+    async fn refuse_as_too_large(&self, job: &Submission) -> Response {
+        if !self.barrier().await {
+            return Response::later(503, NOT_KNOWN_NOW, RETRY_S);
+        }
+        if self.is_known(&job.id) {
+            return self.tell(&job.id, 200);
+        }
+        Response::error(422, TOO_LARGE)
+    }
+
+    fn is_known(&self, id: &str) -> bool {
+        let view = self.view.borrow();
+        view.jobs.get(id).is_some_and(JobView::is_known)
+    }
+
     /// Whether a job that this one waits on is known to be cancelled.
     fn needs_cancelled(&self, job: &Submission) -> bool {
         let view = self.view.borrow();
@@ -194,7 +199,7 @@
             return answer;
         }
         if !self.barrier().await {
-            return Response::later(503, "state not known now", RETRY_S);
+            return Response::later(503, NOT_KNOWN_NOW, RETRY_S);
         }
         let (order, done) = {
             let view = self.view.borrow();
