--- a/src/graph.rs
+++ b/src/graph.rs
@@ -34,7 +34,7 @@
     dependents: HashMap<Rc<str>, Vec<Rc<str>>>,
     /// Jobs that are cancelled by what they need and have no end of their own.
     cancelled: HashSet<Rc<str>>,
-    moved: ReadinessChanges,
+    changes: ReadinessChanges,
 }
 
 impl Graph {
@@ -52,7 +52,7 @@
             }
         }
         if open == 0 {
-            self.moved.ready.push(id.clone());
+            self.changes.ready.push(id.clone());
             return;
         }
         self.open.insert(id.clone(), open);
@@ -73,7 +73,7 @@
                 *open -= 1;
                 if *open == 0 {
                     self.open.remove(&next);
-                    self.moved.ready.push(next);
+                    self.changes.ready.push(next);
                 }
             }
         } else {
@@ -85,7 +85,7 @@
     fn cancel(&mut self, id: &Rc<str>) {
         self.open.remove(id);
         self.cancelled.insert(id.clone());
-        self.moved.cancelled.push(id.clone());
+        self.changes.cancelled.push(id.clone());
         self.cancel_dependents(id);
     }
 
@@ -97,7 +97,7 @@
                 // One that ended by itself, or was reached on another way, is no longer open.
                 if self.open.remove(&next).is_some() {
                     self.cancelled.insert(next.clone());
-                    self.moved.cancelled.push(next.clone());
+                    self.changes.cancelled.push(next.clone());
                     reached.push(next);
                 }
             }
@@ -112,7 +112,7 @@
 
     /// What came about since this was last asked.
     pub fn take_changes(&mut self) -> ReadinessChanges {
-        std::mem::take(&mut self.moved)
+        std::mem::take(&mut self.changes)
     }
 }
 
--- a/src/node.rs
+++ b/src/node.rs
@@ -43,10 +43,6 @@
 const USER_WRITES_MAX: usize = 24;
 /// Polls that wait for a read barrier at once.
 const POLLS_MAX: usize = 256;
-/// Time a user's write may take before it is given up; users wait 5 s.
-const USER_WRITE_S: f64 = 1.5;
-/// By how much a node's share of the users' writes grows with each that is taken.
-const USER_PACE_RISE: f64 = 1.2;
 /// Time a poll may wait; users wait 2 s.
 const POLL_S: f64 = 1.2;
 /// When to come back, told to users that can't be served.
@@ -55,63 +51,23 @@
 const FOLLOW_GAP_S: f64 = 0.05;
 /// Time of one watch: less than the silence after which the state service counts as lost.
 const WATCH_S: f64 = 2.0;
-/// A watch that hasn't shown a revision known to exist for so long is begun anew.
-const FOLLOW_STALE_S: f64 = 0.4;
-/// Time of the watch after that, as a part of it.
-const SHORT_WATCH: f64 = 0.25;
-/// Shortest time between two rounds of the leader's duty, so that reports are taken in groups.
-const DUTY_GAP_S: f64 = 0.03;
-/// After a round that took long the next one waits for so many times as long: a crowd must not keep
-/// reports and the lease's renewal waiting.
-const DUTY_REST: f64 = 1.0;
 /// Transactions that a round sends.
 const WRITES_MAX: usize = 3;
 /// Interval in which the leader looks after machines, in report intervals, and the longest.
 const TEND_REPORTS: f64 = 0.15;
 const TEND_S_MAX: f64 = 0.5;
-/// How long the answer to a report waits for a placement round, in report intervals.
-const HOLD_REPORTS: f64 = 0.15;
 /// Pause after the state service refused or didn't answer.
 const STATE_PAUSE_S: f64 = 0.15;
-/// Renewals within a lease's life.
-const RENEWALS: f64 = 4.0;
 /// Interval of heartbeats in report intervals, and the longest.
 const HEARTBEAT_REPORTS: f64 = 0.4;
 const HEARTBEAT_S_MAX: f64 = 1.2;
-/// After so many report intervals without the state service, while others have it, a node asks
-/// not to be sent users.
-const STATE_LOST_REPORTS: f64 = 1.5;
-const STATE_LOST_S_MAX: f64 = 4.5;
 /// Direct messages to workers under way at once: a part of the sockets, and at least so many.
 const DIRECT_SHARE: f64 = 0.02;
 const DIRECT_MIN: usize = 24;
-/// Interval of direct messages to one worker, and their time limit, in report intervals.
-const DIRECT_REPORTS: f64 = 0.5;
-/// Bounds of that time limit.
-const DIRECT_S_MIN: f64 = 1.0;
-const DIRECT_S_MAX: f64 = 2.0;
-/// A leader without reports for so many intervals resigns when another hears workers.
-const DEAF_REPORTS: f64 = 1.3;
-/// Or for so long, if it knows so many machines: some of them would report in that time.
-const DEAF_S_MAX: f64 = 4.0;
-const DEAF_MACHINES: usize = 12;
-/// Interval of pleas in report intervals, and the longest.
-const STEP_DOWN_REQUEST_REPORTS: f64 = 0.5;
-const STEP_DOWN_REQUEST_S_MAX: f64 = 1.5;
-/// So many workers that can't reach the leader are told of.
-const UNREACHABLE_WORKERS: usize = 2;
-/// A leader whose lease is renewed but whose view was not current for so many lives gives way.
-const STALE_LIVES: f64 = 2.0;
-/// How long a leader that resigned stands back, in lives of its lease.
-const STAND_BACK_LIVES: f64 = 3.0;
-/// For how long a controller waits for others that should rather lead, in lives of the lease.
-const STAND_ASIDE: f64 = 0.3;
 /// For how long arrivals are watched, and in what steps: some times what a machine takes to boot,
 /// which is not known before the machine types are.
 const EXPECT_S: f64 = 150.0;
 const EXPECT_STEP_S: f64 = 3.0;
-/// Time limit of a call to the cloud.
-const CLOUD_CALL_S: f64 = 5.0;
 /// Part of the cloud's limit that is used.
 const CLOUD_SHARE: f64 = 0.85;
 /// Largest answer taken from the cloud or a worker.
@@ -158,7 +114,7 @@
     /// Whether the view is whole; not while it is read anew.
     loaded: Cell<bool>,
     /// Beats when the view moved on.
-    moved: Pulse,
+    view_advanced: Pulse,
     /// Ends the gap between watches.
     hurry: Signal,
     /// Begins the watch anew.
@@ -296,7 +252,7 @@
                 rt.now(),
             ))),
             loaded: Cell::new(false),
-            moved: Pulse::default(),
+            view_advanced: Pulse::default(),
             hurry: Signal::default(),
             rewatch: Signal::default(),
             state_heard: Cell::new(None),
--- a/src/node/cloud.rs
+++ b/src/node/cloud.rs
@@ -4,11 +4,14 @@
 
 use futures_util::future::select;
 
-use super::{CLOUD_CALL_S, Node, TEND_REPORTS, TEND_S_MAX};
+use super::{Node, TEND_REPORTS, TEND_S_MAX};
 use crate::autoscale::{CloudAnswer, CloudCall};
 use crate::http::CallError;
 use crate::wire::{MachineList, MachineNames, MachineTypes, path};
 
+/// Time limit of a call to the cloud.
+const CLOUD_CALL_S: f64 = 5.0;
+
 impl Node {
     pub(super) async fn cloud_duty(self: Rc<Self>) {
         let tick = (self.config.deployment.workers.report_s * TEND_REPORTS).min(TEND_S_MAX) * 2.0;
--- a/src/node/follow.rs
+++ b/src/node/follow.rs
@@ -7,10 +7,7 @@
 use rand::RngExt;
 use serde_json::value::to_raw_value;
 
-use super::{
-    DEAF_MACHINES, DEAF_REPORTS, DEAF_S_MAX, FOLLOW_GAP_S, FOLLOW_STALE_S, Node, POLL_S, POLLS_MAX,
-    SHORT_WATCH, STATE_PAUSE_S, WATCH_S,
-};
+use super::{FOLLOW_GAP_S, Node, POLL_S, POLLS_MAX, STATE_PAUSE_S, WATCH_S};
 use crate::autoscale::{CloudAnswer, CloudCall};
 use crate::leader::{Leader, TxnOutcome};
 use crate::rt::Time;
@@ -18,6 +15,16 @@
 use crate::view::{self, View, key};
 use crate::wire::{self, Condition, Txn};
 
+/// A watch that hasn't shown a revision known to exist for so long is begun anew.
+const FOLLOW_STALE_S: f64 = 0.4;
+/// Time of the watch after that, as a part of it.
+const SHORT_WATCH: f64 = 0.25;
+/// A leader without reports for so many intervals resigns when another hears workers.
+const DEAF_REPORTS: f64 = 1.3;
+/// Or for so long, if it knows so many machines: some of them would report in that time.
+const DEAF_S_MAX: f64 = 4.0;
+const DEAF_MACHINES: usize = 12;
+
 impl Node {
     /// Waits until the view shows all that was in the store when this call began.
     pub(super) async fn barrier(&self) -> bool {
@@ -68,7 +75,7 @@
             if now >= deadline {
                 return false;
             }
-            let next = self.moved.next();
+            let next = self.view_advanced.next();
             self.hurry.set();
             if self
                 .rt
@@ -121,7 +128,7 @@
         self.view_was_current(began);
         self.resync();
         self.leader_moved.set();
-        self.moved.beat();
+        self.view_advanced.beat();
         Ok(())
     }
 
@@ -224,7 +231,7 @@
             self.on_readiness_changes(&mut view, leader.as_mut(), now);
         }
         view.revision = view.revision.max(events.revision);
-        self.moved.beat();
+        self.view_advanced.beat();
     }
 
     /// A job was stored, or its record was cleared away.
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -6,9 +6,7 @@
 use rand::RngExt;
 
 use super::{
-    DIRECT_REPORTS, DIRECT_S_MAX, DIRECT_S_MIN, DUTY_GAP_S, DUTY_REST, Node, OUTSIDE_BODY_MAX,
-    RENEWALS, STALE_LIVES, STAND_ASIDE, STAND_BACK_LIVES, STATE_PAUSE_S, TEND_REPORTS, TEND_S_MAX,
-    WRITES_MAX, directs_max,
+    Node, OUTSIDE_BODY_MAX, STATE_PAUSE_S, TEND_REPORTS, TEND_S_MAX, WRITES_MAX, directs_max,
 };
 use crate::cluster::WorkerSeen;
 use crate::election::{self, Kept, Tenure};
@@ -18,6 +16,25 @@
 use crate::rt::Scope;
 use crate::wire::{Command, Direct, path};
 
+/// Shortest time between two rounds of the leader's duty, so that reports are taken in groups.
+const DUTY_GAP_S: f64 = 0.03;
+/// After a round that took long the next one waits for so many times as long: a crowd must not keep
+/// reports and the lease's renewal waiting.
+const DUTY_REST: f64 = 1.0;
+/// Renewals within a lease's life.
+const RENEWALS: f64 = 4.0;
+/// Interval of direct messages to one worker, and their time limit, in report intervals.
+const DIRECT_REPORTS: f64 = 0.5;
+/// Bounds of that time limit.
+const DIRECT_S_MIN: f64 = 1.0;
+const DIRECT_S_MAX: f64 = 2.0;
+/// A leader whose lease is renewed but whose view was not current for so many lives gives way.
+const STALE_LIVES: f64 = 2.0;
+/// How long a leader that resigned stands back, in lives of its lease.
+const STAND_BACK_LIVES: f64 = 3.0;
+/// For how long a controller waits for others that should rather lead, in lives of the lease.
+const STAND_ASIDE: f64 = 0.3;
+
 impl Node {
     pub(super) async fn election_duty(self: Rc<Self>) {
         let life = self.config.leader_life_s();
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -5,10 +5,7 @@
 use serde_json::value::to_raw_value;
 
 use super::delegate::stops;
-use super::{
-    HOLD_REPORTS, Node, RETRY_S, STEP_DOWN_REQUEST_REPORTS, STEP_DOWN_REQUEST_S_MAX, Seen,
-    UNREACHABLE_WORKERS,
-};
+use super::{Node, RETRY_S, Seen};
 use crate::cluster::WorkerSeen;
 use crate::fleet::Source;
 use crate::http::Response;
@@ -16,6 +13,14 @@
 use crate::view::{StepDownRequest, key};
 use crate::wire::{self, Condition, Redirect, Report, ReportReply, Txn};
 
+/// How long the answer to a report waits for a placement round, in report intervals.
+const HOLD_REPORTS: f64 = 0.15;
+/// Interval of pleas in report intervals, and the longest.
+const STEP_DOWN_REQUEST_REPORTS: f64 = 0.5;
+const STEP_DOWN_REQUEST_S_MAX: f64 = 1.5;
+/// So many workers that can't reach the leader are told of.
+const UNREACHABLE_WORKERS: usize = 2;
+
 impl Node {
     pub(super) async fn report(&self, body: &[u8]) -> Response {
         let Ok(report) = serde_json::from_slice::<Report>(body) else {
--- a/src/node/tests/requests.rs
+++ b/src/node/tests/requests.rs
@@ -256,7 +256,7 @@
         root.spawn(async move {
             let _peers = peers;
             while !node.loaded.get() {
-                node.moved.next().await;
+                node.view_advanced.next().await;
             }
             // The view shows a job that waits; nobody is told so.
             let seen = node.view.borrow().jobs["j-1"].status("j-1").state;
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -4,10 +4,7 @@
 
 use serde_json::value::{RawValue, to_raw_value};
 
-use super::{
-    Node, RETRY_S, STATE_LOST_REPORTS, STATE_LOST_S_MAX, STATE_PAUSE_S, USER_PACE_RISE,
-    USER_WRITE_S, USER_WRITES_MAX,
-};
+use super::{Node, RETRY_S, STATE_PAUSE_S, USER_WRITES_MAX};
 use crate::api::{is_job_id, job_answer, never_runs, parse_submission};
 use crate::config::StateLimits;
 use crate::http::{Request, Response};
@@ -15,6 +12,15 @@
 use crate::view::{End, EndRecord, JobRecord, JobView, key};
 use crate::wire::{self, Condition, JobState, Kind, Submission, Txn, path};
 
+/// Time a user's write may take before it is given up; users wait 5 s.
+const USER_WRITE_S: f64 = 1.5;
+/// By how much a node's share of the users' writes grows with each that is taken.
+const USER_PACE_RISE: f64 = 1.2;
+/// After so many report intervals without the state service, while others have it, a node asks
+/// not to be sent users.
+const STATE_LOST_REPORTS: f64 = 1.5;
+const STATE_LOST_S_MAX: f64 = 4.5;
+
 /// Bytes of a transaction, as the protocol says.
 const TXN_BYTES_MAX: usize = 64 * 1024;
 const NOT_KNOWN_NOW: &str = "state not known now";
