--- a/src/node/tests/faults/store_answers.rs
+++ b/src/node/tests/faults/store_answers.rs
@@ -71,10 +71,12 @@
     for k in w.all_workers().iter().step_by(2) {
         k.mute_until.set(w.now() + 15.0);
     }
+    // It is back at once, and ends the lease of its older self before the write is carried out.
     w.kill(leader);
     w.state.lines[leader].late_writes.set(0);
-    another_leads(w, leader).await;
+    w.run(0.2).await;
     w.start(leader);
+    w.until("led", 30.0, || w.leader().is_some()).await;
     w.until("running", 60.0, || {
         w.live(id) == 6 || w.checks.is_complete(id)
     })
