--- a/src/node/tests/faults/store_answers.rs
+++ b/src/node/tests/faults/store_answers.rs
@@ -2,6 +2,9 @@
 
 use super::*;
 
+/// For how long machines reach no controller.
+const MUTE_S: f64 = 15.0;
+
 /// A transaction is carried out at once and only its answer is lost, while others read what it wrote.
 #[test]
 fn answers_lost_at_once_make_nobody_tell_anything_older() {
@@ -55,6 +58,8 @@
                 end_leader_with_a_write_on_its_way(&w, &format!("j-1{i:03}")).await;
             }
         }
+        // All machines reach a controller again.
+        w.run(MUTE_S).await;
         w.see_the_end(300.0).await;
     });
 }
@@ -69,7 +74,7 @@
     w.submit_surely(other, &running(id, 6, 30.0)).await;
     w.run(4.5).await;
     for k in w.all_workers().iter().step_by(2) {
-        k.mute_until.set(w.now() + 15.0);
+        k.mute_until.set(w.now() + MUTE_S);
     }
     // It is back at once, and ends the lease of its older self before the write is carried out.
     w.kill(leader);
