--- a/src/node/tests/world.rs
+++ b/src/node/tests/world.rs
@@ -5,6 +5,7 @@
 mod checks;
 mod cloud;
 mod gangs;
+mod production_view;
 mod state;
 mod users;
 mod workers;
--- a/src/node/tests/world/state.rs
+++ b/src/node/tests/world/state.rs
@@ -9,12 +9,12 @@
 use serde_json::json;
 use serde_json::value::RawValue;
 
+use super::production_view::{as_production_sees_it, as_production_writes_it};
 use super::{LIMITS, NODES, addr};
 use crate::http::{Request, Response, serve};
 use crate::leader::TxnOutcome;
 use crate::rt::{Pulse, Rt, Scope, Time};
 use crate::testing::FakeStore;
-use crate::tests::production::{self, Read};
 use crate::view::{LeaderRecord, key};
 use crate::wire::{Change, Condition, Txn, path};
 
@@ -134,58 +134,6 @@
         .find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Drops from a value what the version in production doesn't know. None: it ignores the key.
-fn known_to_production(key: &str, value: &RawValue) -> Option<Box<RawValue>> {
-    match production::read(key, value) {
-        Ok(Read::Understood(value)) => Some(value),
-        Ok(Read::Ignored) => None,
-        Err(e) => panic!("production can't read {key}: {e}"),
-    }
-}
-
-/// Whether the version in production makes a change at all; it writes only the fields that it knows.
-fn as_production_writes_it(change: &mut Change) -> bool {
-    match change {
-        Change::Put { key, value, .. } => match known_to_production(key, value) {
-            Some(known) => {
-                *value = known;
-                true
-            }
-            None => false,
-        },
-        Change::Delete { .. } => true,
-    }
-}
-
-fn as_production_sees_it(mut answer: Response) -> Response {
-    let Ok(mut body) = serde_json::from_slice::<serde_json::Value>(&answer.body) else {
-        return answer;
-    };
-    let is_known = |item: &mut serde_json::Value| {
-        let key = item["K"].as_str().or(item["Put"].as_str());
-        let Some(key) = key.map(str::to_owned) else {
-            // A deletion.
-            return true;
-        };
-        let value = serde_json::value::to_raw_value(&item["V"]).unwrap();
-        let Some(known) = known_to_production(&key, &value) else {
-            return false;
-        };
-        item["V"] = serde_json::from_str(known.get()).unwrap();
-        true
-    };
-    for list in ["Pairs", "News"] {
-        if let Some(items) = body[list].as_array_mut() {
-            items.retain_mut(is_known);
-        }
-    }
-    if !body["V"].is_null() {
-        is_known(&mut body);
-    }
-    answer.body = serde_json::to_vec(&body).unwrap();
-    answer
-}
-
 impl State {
     pub fn start(rt: &Rt, scope: &Scope) -> Rc<Self> {
         let state = Rc::new(State {
