--- a/src/admission_quota/report.rs
+++ b/src/admission_quota/report.rs
@@ -75,13 +75,13 @@
 ) -> Result<T, ReportError> {
     let outcome: Rc<RefCell<Option<Result<T, StoreError>>>> = Rc::default();
     let result = outcome.clone();
-    Runtime::run::<calloop::Error>(move |rt| {
-        let root = Scope::new(rt);
-        let rt = rt.clone();
-        let work = work(StoreClient::new(&rt, config.services.state, &config));
+    Runtime::run::<calloop::Error>(move |runtime| {
+        let root = Scope::new(runtime);
+        let runtime = runtime.clone();
+        let work = work(StoreClient::new(&runtime, config.services.state, &config));
         root.spawn(async move {
             *result.borrow_mut() = Some(work.await);
-            rt.stop();
+            runtime.stop();
         });
         Ok(root)
     })?;
--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -119,19 +119,19 @@
     }
 
     /// Records the arrival of a job. Large work may have to preempt others: the next pass is due at once.
-    pub(crate) fn note_arrival(&mut self, spec: &Rc<Submission>) {
-        self.classes.note_arrival(spec);
+    pub(crate) fn record_arrival(&mut self, spec: &Rc<Submission>) {
+        self.classes.record_arrival(spec);
         self.request_pass();
     }
 
     /// Records the run time of a task, in seconds.
-    pub(crate) fn note_run(&mut self, class_key: &str, run_s: f64) {
-        self.forecast.borrow_mut().note_run(class_key, run_s);
+    pub(crate) fn record_run_time(&mut self, class_key: &str, run_s: f64) {
+        self.forecast.borrow_mut().record_run_time(class_key, run_s);
     }
 
     /// Below which priority jobs may borrow machines of a type that are kept for large work: those that all such work
     /// may preempt. None while large work waits for such machines.
-    pub(crate) fn borrowable_below(
+    pub(crate) fn borrowing_priority_limit(
         &self,
         type_index: usize,
         catalog: &MachineCatalog,
@@ -140,7 +140,7 @@
         waiting_jobs: &BTreeSet<JobIndex>,
     ) -> Option<Priority> {
         self.classes
-            .borrowable_below(type_index, catalog, rule, jobs, waiting_jobs)
+            .borrowing_priority_limit(type_index, catalog, rule, jobs, waiting_jobs)
     }
 
     /// The next pass is due at once.
@@ -191,14 +191,14 @@
         &mut self,
         plan: ScalingPlan,
         inputs: &ScalingInputs,
-        term_began: Time,
+        term_started_at: Time,
         fencing_token: u64,
     ) {
         let ScalingInputs {
             config, fleet, now, ..
         } = inputs;
         if !self.cloud.has_queued_rentals()
-            && self.cloud.knows_fleet(config, fleet, term_began, *now)
+            && self.cloud.knows_fleet(config, fleet, term_started_at, *now)
         {
             self.cloud
                 .queue_rentals(plan.rentals, inputs.catalog, fencing_token);
--- a/src/autoscaler/arrival_forecast.rs
+++ b/src/autoscaler/arrival_forecast.rs
@@ -70,7 +70,7 @@
     }
 
     /// Records the arrival of a job.
-    pub fn note(&mut self, spec: &Submission, now: Time) {
+    pub fn record_arrival(&mut self, spec: &Submission, now: Time) {
         let interval = self.interval_at(now);
         let window = self.window_intervals;
         let tasks = self.tasks_per_job.entry(class_key(spec)).or_default();
@@ -89,7 +89,7 @@
     }
 
     /// Records the run time of a task, in seconds.
-    pub fn note_run(&mut self, class_key: &str, run_s: f64) {
+    pub fn record_run_time(&mut self, class_key: &str, run_s: f64) {
         let tasks_per_job = self.tasks_per_job.get(class_key);
         let tasks_per_job = tasks_per_job.and_then(DecayingMean::get).unwrap_or(1.0);
         let run_times = self.run_times.entry(class_key.to_owned()).or_default();
--- a/src/autoscaler/arrival_forecast/tests.rs
+++ b/src/autoscaler/arrival_forecast/tests.rs
@@ -9,12 +9,12 @@
     let spec = job("j-1", 1);
     let class = class_key(&spec);
     for _ in 0..50 {
-        expected.note(&spec, 0.5);
+        expected.record_arrival(&spec, 0.5);
     }
     let crowd = expected.rate(&class, 1.0);
     assert!(crowd < 0.11, "{crowd}");
     for i in 1..40 {
-        expected.note(&spec, f64::from(i) * 10.0);
+        expected.record_arrival(&spec, f64::from(i) * 10.0);
     }
     let steady = expected.rate(&class, 395.0);
     assert!((0.08..0.13).contains(&steady), "{steady}");
@@ -33,7 +33,7 @@
     let mut now = 0.0;
     while now < 200.0 {
         now += 0.25;
-        expected.note(&spec, now);
+        expected.record_arrival(&spec, now);
     }
     let rate = expected.rate(&class, now);
     assert!((3.5..4.2).contains(&rate), "{rate}");
--- a/src/autoscaler/capacity_units.rs
+++ b/src/autoscaler/capacity_units.rs
@@ -26,9 +26,9 @@
     /// Whether its worker has reported.
     pub(crate) up: bool,
     /// Whether a large task is or may be on it.
-    pub(crate) has_large: bool,
+    pub(crate) runs_large_tasks: bool,
     /// Whether tasks are or may be on it, and none of them is large.
-    pub(crate) has_small: bool,
+    pub(crate) runs_small_tasks: bool,
     /// The highest priority of what is on it.
     pub(super) highest_priority: Option<Priority>,
     /// The work that this pass keeps it for, if any.
@@ -37,7 +37,7 @@
 
 impl CapacityUnit {
     /// Whether this pass keeps it for large work.
-    pub(crate) fn is_planned_large(&self) -> bool {
+    pub(crate) fn is_planned_for_large_tasks(&self) -> bool {
         self.planned_role == Some(MachineRole::Large)
     }
 
@@ -74,7 +74,7 @@
             return None;
         }
         let capacity = self.catalog.capacity(type_index);
-        let has_large = machine.has_large(tunables.large_share);
+        let runs_large_tasks = machine.runs_large_task(tunables.large_share);
         let unfinished = machine.attempts.iter().filter(|(_, a)| !a.completed);
         Some(CapacityUnit {
             index: Some(index),
@@ -87,8 +87,8 @@
             unit_price: self.catalog.unit_price(type_index, machine.spot),
             used_share: machine.used.largest_share(capacity),
             up: machine.is_up(),
-            has_large,
-            has_small: !machine.is_empty() && !has_large,
+            runs_large_tasks,
+            runs_small_tasks: !machine.is_empty() && !runs_large_tasks,
             highest_priority: unfinished
                 .map(|(key, _)| self.jobs[&key.job].spec.priority)
                 .max(),
--- a/src/autoscaler/cloud.rs
+++ b/src/autoscaler/cloud.rs
@@ -160,7 +160,7 @@
 
     /// Notes that the cloud has confirmed a machine's return. The oldest are forgotten one by one: all
     /// at once would let a late heartbeat bring one back that went a moment ago.
-    pub(crate) fn note_returned(&mut self, name: Rc<str>) {
+    pub(crate) fn record_returned(&mut self, name: Rc<str>) {
         if self.returned.insert(name.clone()) {
             self.returned_order.push_back(name);
         }
@@ -221,7 +221,7 @@
 
     /// A pool has no more machines now. Further requests to it are dropped: at some hundred machines
     /// in requests of 50 they once kept the cloud's few calls from all other pools.
-    pub(super) fn note_refusal(
+    pub(super) fn record_refusal(
         &mut self,
         rent: &RentRequest,
         pool: PoolKey,
@@ -236,30 +236,30 @@
         let boot_s = catalog[pool.type_index].boot_s;
         let machines = pool_counts(fleet).get(&pool).copied().unwrap_or(0);
         let pool = self.pools.entry(pool).or_default();
-        pool.note_refusal(boot_s, machines, now);
+        pool.record_refusal(boot_s, machines, now);
     }
 
     /// A pool served a request in full.
-    pub(super) fn note_success(&mut self, pool: &PoolKey) {
+    pub(super) fn record_success(&mut self, pool: &PoolKey) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.note_success();
+            pool.record_success();
         }
     }
 
     /// A page of the list was read; the next one is read at once.
-    pub(super) fn note_page(&mut self, page: &[ListedMachine], more: bool) {
+    pub(super) fn record_page(&mut self, page: &[ListedMachine], more: bool) {
         self.list_continuation = more
             .then(|| page.last().map(|machine| machine.id.clone()))
             .flatten();
     }
 
     /// The list could not be read: it is read from its start at the next interval.
-    pub(crate) fn note_list_failure(&mut self) {
+    pub(crate) fn record_list_failure(&mut self) {
         self.list_continuation = None;
     }
 
     /// The list was read to its end.
-    pub(super) fn note_list_end(&mut self, fleet: &Fleet) {
+    pub(super) fn record_list_end(&mut self, fleet: &Fleet) {
         if self.first_listing == FirstListing::Incomplete {
             self.first_listing = if fleet.machines.is_empty() {
                 FirstListing::NoMachines
@@ -275,7 +275,7 @@
         &self,
         config: &Config,
         fleet: &Fleet,
-        term_began: Time,
+        term_started_at: Time,
         now: Time,
     ) -> bool {
         let deployment = &config.deployment;
@@ -284,7 +284,9 @@
         match self.first_listing {
             FirstListing::Incomplete => false,
             FirstListing::NoMachines => true,
-            FirstListing::Machines => now - term_began >= settle_s || most_have_reported(fleet),
+            FirstListing::Machines => {
+                now - term_started_at >= settle_s || most_have_reported(fleet)
+            }
         }
     }
 }
--- a/src/autoscaler/coverage.rs
+++ b/src/autoscaler/coverage.rs
@@ -60,7 +60,11 @@
     /// In which round a class may use a machine: machines that do such work already come first, then free ones, then,
     /// for large work, those where it would preempt small tasks.
     fn round(&self, class: &JobClass, unit: &CapacityUnit, large_share: f64) -> Option<u8> {
-        match (self.is_large(), unit.has_large, unit.has_small) {
+        match (
+            self.is_large(),
+            unit.runs_large_tasks,
+            unit.runs_small_tasks,
+        ) {
             (true, true, _) | (false, false, true) => Some(0),
             (_, false, false) => Some(1),
             (true, false, true) if unit.highest_priority < Some(class.spec.priority) => Some(2),
@@ -138,7 +142,7 @@
         order.sort_by(|a, b| units[*a].used_share.total_cmp(&units[*b].used_share));
         for position in order {
             let unit = &mut units[position];
-            if unit.has_small && fit.suits(class, unit) {
+            if unit.runs_small_tasks && fit.suits(class, unit) {
                 fit.assign(class, unit, uncovered);
             }
         }
--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -6,7 +6,7 @@
 use super::job_classes::{JobClass, JobClasses};
 use crate::config::ObjectiveKind;
 use crate::jobs::class_key::class_key;
-use crate::jobs::objectives::strictest_start_s;
+use crate::jobs::objectives::strictest_start_target_s;
 use crate::resources::tasks_that_fit;
 
 /// A backlog for which no objective sets a time is to be worked off within so many boot times.
@@ -166,7 +166,7 @@
         }
         ClassLoad {
             boot_s,
-            start_within_s: strictest_start_s(self.config, &class.spec),
+            start_within_s: strictest_start_target_s(self.config, &class.spec),
             run_s,
             tasks_per_s,
             concurrent_tasks,
--- a/src/autoscaler/exceptions.rs
+++ b/src/autoscaler/exceptions.rs
@@ -85,7 +85,10 @@
         }
         for unit in self.units.iter().filter(|u| options.contains(&u.option)) {
             if let Some(room) = room.get_mut(&*unit.zone) {
-                *room += tasks_that_fit(job.amount(), catalog.capacity(unit.option.type_index));
+                *room += tasks_that_fit(
+                    job.task_resources(),
+                    catalog.capacity(unit.option.type_index),
+                );
             }
         }
         room
@@ -97,7 +100,7 @@
     /// a task that is lost with one makes the whole chain late.
     fn chain_steps_with_deadline(&self, classes: &JobClasses) -> Vec<Exception> {
         let mut found: BTreeMap<Rc<str>, JobClass> = BTreeMap::new();
-        let open = self.jobs.values().filter(|j| j.ended.is_none());
+        let open = self.jobs.values().filter(|j| j.end.is_none());
         for job in open.filter(|j| j.spec.spot && j.is_chain_step_with_deadline()) {
             if job.is_blocked && !self.may_run_next(job) {
                 continue;
@@ -111,7 +114,7 @@
                 spec.spot = false;
                 class.part(spec)
             });
-            steps.pending_tasks += f64::from(job.pending());
+            steps.pending_tasks += f64::from(job.pending_tasks());
             steps.assigned_tasks += f64::from(job.assigned_tasks);
         }
         found
@@ -132,7 +135,7 @@
     /// for them all the time, and one once waited for ever.
     fn outliers(&self, classes: &JobClasses, pass: &ScalingPass) -> Vec<Exception> {
         let has_not_begun = |job: &&Job| {
-            let begun = job.assigned_tasks + job.done > 0;
+            let begun = job.assigned_tasks + job.done_tasks > 0;
             !begun
                 && job.backoff_until <= self.now
                 && self.now - job.ready_at > LARGE_JOB_START_TARGET_S * OUTLIER_WAIT_SHARE
@@ -167,13 +170,13 @@
         let mut spec = (*job.spec).clone();
         spec.zone = zone.or(spec.zone);
         let mut needs = class.part(spec);
-        needs.task_resources = job.amount();
+        needs.task_resources = job.task_resources();
         needs.pending_tasks = f64::from(tasks);
         needs
     };
-    let tasks = job.pending();
+    let tasks = job.pending_tasks();
     match pass.zones_for(job).as_slice() {
-        [] if job.amount().fits(class.task_resources) => Vec::new(),
+        [] if job.task_resources().fits(class.task_resources) => Vec::new(),
         [] => vec![needs(None, tasks)],
         [zone] => vec![needs(Some(zone.clone()), tasks)],
         [first, second, ..] => vec![
--- a/src/autoscaler/inventory.rs
+++ b/src/autoscaler/inventory.rs
@@ -19,12 +19,12 @@
         catalog: &MachineCatalog,
         now: Time,
     ) {
-        self.cloud.note_page(page, more);
+        self.cloud.record_page(page, more);
         for listed in page {
             self.cloud.on_listed(listed, fleet, catalog, now);
         }
         if !more {
-            self.cloud.note_list_end(fleet);
+            self.cloud.record_list_end(fleet);
         }
     }
 
@@ -56,7 +56,7 @@
         if (names.len() as u32) < rent.count {
             self.on_no_capacity(rent, fleet, catalog, now);
         } else if let Some(pool) = PoolKey::of_request(rent, catalog) {
-            self.cloud.note_success(&pool);
+            self.cloud.record_success(&pool);
         }
     }
 
@@ -69,7 +69,7 @@
         now: Time,
     ) {
         if let Some(pool) = PoolKey::of_request(rent, catalog) {
-            self.cloud.note_refusal(rent, pool, fleet, catalog, now);
+            self.cloud.record_refusal(rent, pool, fleet, catalog, now);
             self.request_pass();
         }
     }
--- a/src/autoscaler/job_classes.rs
+++ b/src/autoscaler/job_classes.rs
@@ -8,7 +8,7 @@
 use crate::fleet::machine_catalog::{MachineCatalog, is_type_allowed};
 use crate::jobs::class_key::class_key;
 use crate::jobs::job_table::JobTable;
-use crate::jobs::{Job, JobIndex, amount};
+use crate::jobs::{Job, JobIndex, task_resources};
 use crate::protocol::users::{Priority, Submission};
 use crate::resources::Resources;
 use crate::scheduler::pricing::PricingRule;
@@ -64,7 +64,7 @@
 impl JobClass {
     fn new(spec: Rc<Submission>) -> Self {
         JobClass {
-            task_resources: amount(&spec),
+            task_resources: task_resources(&spec),
             mean_resources: MeanResources::default(),
             tasks_per_job: DecayingMean::default(),
             estimated_run_s: DecayingMean::default(),
@@ -83,7 +83,7 @@
         if let Some(deadline_s) = spec.deadline_s {
             self.deadline_s.add(deadline_s, MEAN_JOBS);
         }
-        self.task_resources = self.mean_resources.add(amount(spec));
+        self.task_resources = self.mean_resources.add(task_resources(spec));
     }
 
     /// A part of the class that needs machines of its own, with no tasks yet.
@@ -147,7 +147,7 @@
     }
 
     /// Records the arrival of a job.
-    pub(super) fn note_arrival(&mut self, spec: &Rc<Submission>) {
+    pub(super) fn record_arrival(&mut self, spec: &Rc<Submission>) {
         self.by_key
             .entry(class_key(spec))
             .or_insert_with(|| JobClass::new(spec.clone()))
@@ -167,11 +167,11 @@
             class.assigned_tasks = 0.0;
         }
         let jobs = inputs.jobs.values();
-        for job in jobs.filter(|j| j.ended.is_none() && !j.is_blocked) {
+        for job in jobs.filter(|j| j.end.is_none() && !j.is_blocked) {
             let pending = if job.backoff_until > inputs.now {
                 0
             } else {
-                job.pending()
+                job.pending_tasks()
             };
             if let Some(class) = self.get_mut(&job.class) {
                 class.pending_tasks += f64::from(pending);
@@ -199,7 +199,7 @@
 
     /// Below which priority jobs may borrow machines of a type that are kept for large work: those that all such work
     /// may preempt. None while large work waits for such machines.
-    pub(super) fn borrowable_below(
+    pub(super) fn borrowing_priority_limit(
         &self,
         type_index: usize,
         catalog: &MachineCatalog,
@@ -210,7 +210,7 @@
         let machine_type = &catalog[type_index];
         let large = |spec: &Submission| {
             is_type_allowed(spec, machine_type)
-                && rule.is_large(amount(spec), catalog.capacity(type_index))
+                && rule.is_large(task_resources(spec), catalog.capacity(type_index))
         };
         if waiting_jobs.iter().any(|index| large(&jobs[index].spec)) {
             return None;
--- a/src/autoscaler/pools.rs
+++ b/src/autoscaler/pools.rs
@@ -57,7 +57,7 @@
 
 impl Pool {
     /// The pool has no more machines now.
-    pub(super) fn note_refusal(&mut self, boot_s: f64, machines: u32, now: Time) {
+    pub(super) fn record_refusal(&mut self, boot_s: f64, machines: u32, now: Time) {
         let backoff_s = self
             .backoff_s
             .map_or(0.0, |backoff_s| backoff_s * 2.0)
@@ -69,7 +69,7 @@
     }
 
     /// A request was served in full.
-    pub(super) fn note_success(&mut self) {
+    pub(super) fn record_success(&mut self) {
         self.backoff_s = None;
     }
 
--- a/src/autoscaler/rentals.rs
+++ b/src/autoscaler/rentals.rs
@@ -92,8 +92,8 @@
                 unit_price,
                 used_share: 0.0,
                 up: false,
-                has_large: false,
-                has_small: false,
+                runs_large_tasks: false,
+                runs_small_tasks: false,
                 highest_priority: None,
                 planned_role: Some(role),
             });
--- a/src/autoscaler/surplus.rs
+++ b/src/autoscaler/surplus.rs
@@ -24,7 +24,7 @@
     /// Machines of these whose tasks are to go on elsewhere.
     pub(crate) evict: Vec<MachineIndex>,
     /// Machines that are to be returned now.
-    pub(crate) give_back: Vec<MachineIndex>,
+    pub(crate) return_now: Vec<MachineIndex>,
 }
 
 impl ScalingInputs<'_> {
@@ -48,7 +48,7 @@
             let paid = self.now - machine.rented_at > CHARGED_S * CHARGED_SHARE;
             if machine.is_empty() {
                 if paid && machine.attempts.is_empty() {
-                    plan.give_back.push(index);
+                    plan.return_now.push(index);
                 }
                 continue;
             }
@@ -65,7 +65,7 @@
     fn free_cpus_that_stay(&self, units: &[CapacityUnit]) -> f64 {
         let stay = units
             .iter()
-            .filter(|u| u.planned_role.is_some() && u.up && !u.is_planned_large());
+            .filter(|u| u.planned_role.is_some() && u.up && !u.is_planned_for_large_tasks());
         stay.filter_map(|u| self.fleet.machines.get(&u.index?))
             .map(|machine| (machine.capacity.cpus - machine.used.cpus).max(0.0))
             .sum::<f64>()
--- a/src/controller/admission/quota_presence.rs
+++ b/src/controller/admission/quota_presence.rs
@@ -15,7 +15,7 @@
 /// Life of the presence's lease, in leases of the workers.
 const PRESENCE_LEASES: f64 = 1.0;
 /// Renewals within the life of that lease.
-const RENEWALS_PER_LIFE: f64 = 3.0;
+const RENEWALS_PER_LEASE: f64 = 3.0;
 
 /// Whether the owner's record was stored.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -30,25 +30,27 @@
     /// Keeps this controller's record in the store, attached to a lease: without it the leader may reclaim what
     /// this controller was allotted.
     pub(crate) async fn keep_quota_presence(self: Rc<Self>) {
-        let life_s = self.config.deployment.workers.lease_s * PRESENCE_LEASES;
+        let lease_duration_s = self.config.deployment.workers.lease_s * PRESENCE_LEASES;
         loop {
             self.runtime.sleep(STORE_BACKOFF_S).await;
             if !self.replication.is_loaded.get() {
                 continue;
             }
-            let Ok(lease) = self.store.grant_lease(life_s).await else {
+            let Ok(lease) = self.store.grant_lease(lease_duration_s).await else {
                 continue;
             };
             if self.write_presence(lease).await == PresenceWrite::Stored {
-                self.renew_presence(lease, life_s).await;
+                self.renew_presence(lease, lease_duration_s).await;
             }
         }
     }
 
     /// Renews the lease until it expires or the record is gone.
-    async fn renew_presence(&self, lease: u64, life_s: f64) {
+    async fn renew_presence(&self, lease: u64, lease_duration_s: f64) {
         loop {
-            self.runtime.sleep(life_s / RENEWALS_PER_LIFE).await;
+            self.runtime
+                .sleep(lease_duration_s / RENEWALS_PER_LEASE)
+                .await;
             let renewal = self.store.renew_lease(lease).await;
             let is_shown = !self.replication.is_loaded.get() || self.is_present();
             if matches!(renewal, Ok(LeaseRenewal::Expired)) || !is_shown {
--- a/src/controller/leading/direct_commands.rs
+++ b/src/controller/leading/direct_commands.rs
@@ -64,7 +64,7 @@
         let replica = self.replication.replica.borrow();
         parse_task_name(task)
             .and_then(|(id, _)| replica.jobs.get(id))
-            .is_some_and(|job| job.is_over())
+            .is_some_and(|job| job.has_ended())
     }
 
     /// Sends commands to a worker, unless they are out of date once there is a connection.
--- a/src/controller/leading/elections.rs
+++ b/src/controller/leading/elections.rs
@@ -13,15 +13,15 @@
 use crate::runtime::Time;
 
 /// Renewals within the life of the leader's lease.
-const RENEWALS_PER_LIFE: f64 = 4.0;
+const RENEWALS_PER_LEASE: f64 = 4.0;
 /// A leader whose lease is renewed but whose replica was not current for so many lives of the lease resigns.
-const STALE_REPLICA_LIVES: f64 = 2.0;
+const STALE_REPLICA_LEASES: f64 = 2.0;
 /// For how long a leader that resigned does not campaign, in lives of its lease.
-const RESIGNED_BACKOFF_LIVES: f64 = 3.0;
+const RESIGNED_BACKOFF_LEASES: f64 = 3.0;
 /// For how long a controller lets others that should rather lead campaign first, in lives of the lease.
-const YIELD_LIVES: f64 = 0.3;
+const YIELD_LEASES: f64 = 0.3;
 /// Longest time between two looks at the leader's record, in lives of the lease, before jitter.
-const ELECTION_CHECK_LIVES: f64 = 0.1;
+const ELECTION_CHECK_LEASES: f64 = 0.1;
 
 /// How a term ended.
 enum TermEnd {
@@ -55,12 +55,12 @@
 impl Controller {
     /// Campaigns whenever there is no leader, and holds each term that is won until it ends.
     pub(crate) async fn run_elections(self: Rc<Self>) {
-        let life_s = self.config.leader_lease_s();
+        let lease_duration_s = self.config.leader_lease_s();
         self.revoke_previous_incarnation_at_start().await;
         let mut schedule = CampaignSchedule {
             not_before: self.now(),
             yield_s: if leadership::yields_to_peers(&self.config) {
-                life_s * YIELD_LIVES
+                lease_duration_s * YIELD_LEASES
             } else {
                 0.0
             },
@@ -78,9 +78,10 @@
                 && let Some(term) = self.campaign().await
                 && let TermEnd::Resigned = self.hold_term(term).await
             {
-                schedule.not_before = self.now() + life_s * RESIGNED_BACKOFF_LIVES;
+                schedule.not_before = self.now() + lease_duration_s * RESIGNED_BACKOFF_LEASES;
             }
-            let pause_s = life_s * ELECTION_CHECK_LIVES * rand::rng().random_range(0.5..1.5);
+            let pause_s =
+                lease_duration_s * ELECTION_CHECK_LEASES * rand::rng().random_range(0.5..1.5);
             let changed = std::pin::pin!(self.leadership.record_changed.wait());
             select(changed, self.runtime.sleep(pause_s)).await;
         }
@@ -127,12 +128,12 @@
         self.leadership.term.set(Some(term));
         self.leadership.resign.clear();
         let mut is_started = false;
-        let life_s = self.config.leader_lease_s();
-        let renewal_interval_s = life_s / RENEWALS_PER_LIFE;
+        let lease_duration_s = self.config.leader_lease_s();
+        let renewal_interval_s = lease_duration_s / RENEWALS_PER_LEASE;
         let elected_at = self.now();
         loop {
             if !is_started && self.wait_for_revision(fencing_token).await.is_ok() {
-                self.replication.note_current_at(term.renewal_sent_at);
+                self.replication.record_current_at(term.renewal_sent_at);
                 if let Some(leader) = self.new_leader(fencing_token) {
                     self.start_leader(leader);
                     is_started = true;
@@ -140,7 +141,7 @@
             }
             // What this leader answers rests on a replica known to be current, see `LeaderTerm::trusted_until`.
             self.read_barriers.requested.set();
-            if self.is_replica_stale(&term, elected_at, life_s) {
+            if self.is_replica_stale(&term, elected_at, lease_duration_s) {
                 tracing::warn!(fencing_token, "lease renewed but no changes received");
                 self.leadership.resign.set();
             }
@@ -165,22 +166,22 @@
     }
 
     /// Whether the lease is renewed while the replica has long not been shown to be current.
-    fn is_replica_stale(&self, term: &LeaderTerm, elected_at: Time, life_s: f64) -> bool {
+    fn is_replica_stale(&self, term: &LeaderTerm, elected_at: Time, lease_duration_s: f64) -> bool {
         let current_at = self.replication.current_at.get();
         let current_at = current_at.map_or(elected_at, |at| at.max(elected_at));
-        term.renewal_sent_at - current_at > life_s * STALE_REPLICA_LIVES
+        term.renewal_sent_at - current_at > lease_duration_s * STALE_REPLICA_LEASES
     }
 
     /// Records a renewal of the lease: the term is trusted for another life of it.
     fn on_term_renewed(&self, term: LeaderTerm) {
         let now = self.now();
-        self.replication.note_store_contact(now);
+        self.replication.record_store_contact(now);
         // While the lease was not trusted no heartbeat could be answered: the silence of the workers was this
         // controller's own doing.
         if self.trusted_fencing_token().is_none()
             && let Some(leader) = self.leadership.leader.borrow_mut().as_mut()
         {
-            leader.note_worker_contact(now);
+            leader.record_worker_contact(now);
         }
         self.leadership.term.set(Some(term));
     }
@@ -190,7 +191,7 @@
         let now = self.now();
         let replica = self.replication.replica.borrow();
         let types = replica.machine_types.clone()?;
-        let mut leader = Leader::begin(
+        let mut leader = Leader::start_term(
             self.config.clone(),
             fencing_token,
             types,
--- a/src/controller/leading/leader_loop.rs
+++ b/src/controller/leading/leader_loop.rs
@@ -94,7 +94,7 @@
     ) -> Option<RoundVerdict> {
         let pause = self.runtime.pause();
         self.with_leader(fencing_token, |leader| {
-            leader.note_pause(pause);
+            leader.record_pause(pause);
             if maintains_fleet {
                 leader.maintain_fleet(now);
             }
@@ -119,7 +119,7 @@
             let outcome = self.store.txn(&txn).await;
             let now = self.now();
             if matches!(outcome, TxnOutcome::Applied(_) | TxnOutcome::Conflict(_)) {
-                self.replication.note_store_contact(now);
+                self.replication.record_store_contact(now);
             }
             let next = self.leadership.with_leader_of(fencing_token, |leader| {
                 leader.on_transaction_outcome(outcome, now)
--- a/src/controller/leading/leadership_state.rs
+++ b/src/controller/leading/leadership_state.rs
@@ -56,8 +56,8 @@
     pub(crate) fn trusted_fencing_token(&self) -> Option<u64> {
         let term = self.leadership.term.get()?;
         let replica_current_at = self.replication.current_at.get()?;
-        let life_s = self.config.trusted_leader_lease_s();
-        let is_trusted = self.now() < term.trusted_until(replica_current_at, life_s);
+        let lease_duration_s = self.config.trusted_leader_lease_s();
+        let is_trusted = self.now() < term.trusted_until(replica_current_at, lease_duration_s);
         is_trusted.then_some(term.fencing_token)
     }
 
--- a/src/controller/replication.rs
+++ b/src/controller/replication.rs
@@ -42,13 +42,13 @@
 
 impl Replication {
     /// The replica shows all that was stored at `at`.
-    pub fn note_current_at(&self, at: Time) {
+    pub fn record_current_at(&self, at: Time) {
         let latest = self.current_at.get().map_or(at, |known| known.max(at));
         self.current_at.set(Some(latest));
     }
 
     /// The state service answered.
-    pub fn note_store_contact(&self, now: Time) {
+    pub fn record_store_contact(&self, now: Time) {
         self.store_contact_at.set(Some(now));
     }
 
@@ -86,7 +86,7 @@
         let began = self.now();
         loop {
             let page = self.store.list(keys::ROOT, &after).await?;
-            self.replication.note_store_contact(self.now());
+            self.replication.record_store_contact(self.now());
             first_revision.get_or_insert(page.revision);
             last_revision = page.revision;
             for item in &page.items {
@@ -109,7 +109,7 @@
         fresh.finish_load(self.now(), self.runtime.unix_ms());
         *self.replication.replica.borrow_mut() = fresh;
         self.replication.is_loaded.set(true);
-        self.replication.note_current_at(began);
+        self.replication.record_current_at(began);
         self.on_replica_loaded();
         Ok(())
     }
@@ -181,7 +181,7 @@
 
     /// Applies the changes of a watch, then waits a little for more.
     async fn on_watch_events(&self, events: &Events) {
-        self.replication.note_store_contact(self.now());
+        self.replication.record_store_contact(self.now());
         self.apply_events(events);
         // A short gap batches the changes, unless somebody waits for them.
         let gap = self.runtime.sleep(WATCH_BATCH_S);
--- a/src/controller/replication/read_barriers.rs
+++ b/src/controller/replication/read_barriers.rs
@@ -72,7 +72,7 @@
             let began = self.now();
             let result = self.catch_up_with_store().await;
             if result.is_ok() {
-                self.replication.note_current_at(began);
+                self.replication.record_current_at(began);
             }
             for sender in waiting {
                 let _ = sender.send(result);
@@ -84,7 +84,7 @@
     async fn catch_up_with_store(&self) -> ReadBarrierResult {
         match self.store.current_revision(&keys::revision_probe()).await {
             Ok(revision) => {
-                self.replication.note_store_contact(self.now());
+                self.replication.record_store_contact(self.now());
                 self.wait_for_revision(revision).await
             }
             Err(error) => {
--- a/src/controller/replication/replica_events.rs
+++ b/src/controller/replication/replica_events.rs
@@ -82,7 +82,7 @@
         };
         if let Some(spec) = &job.spec {
             if !job.is_blocked {
-                self.forecast.borrow_mut().note(spec, now);
+                self.forecast.borrow_mut().record_arrival(spec, now);
             }
             job.submitted_at.get_or_insert(now);
         }
@@ -104,7 +104,7 @@
         let changes = replica.take_readiness_changes(now);
         for id in &changes.ready {
             if let Some(spec) = replica.jobs.get(id).and_then(|j| j.spec.as_ref()) {
-                self.forecast.borrow_mut().note(spec, now);
+                self.forecast.borrow_mut().record_arrival(spec, now);
             }
             if let Some(leader) = leader.as_mut() {
                 leader.on_ready(id, now);
--- a/src/controller/tests/faults/cancellations.rs
+++ b/src/controller/tests/faults/cancellations.rs
@@ -6,21 +6,23 @@
 /// the leader knows that.
 #[test]
 fn no_task_starts_once_the_cancellation_is_known() {
-    run_scenario(direct_launches, async |w: Rc<World>| {
-        start_cluster(&w, 4).await;
-        w.run(6.0).await;
-        for k in w.all_workers() {
+    run_scenario(direct_launches, async |world: Rc<World>| {
+        start_cluster(&world, 4).await;
+        world.run(6.0).await;
+        for k in world.all_workers() {
             let at = k.fake.borrow().heartbeat.addr.parse().unwrap();
-            w.rt.slow_connections(at, 0.6);
+            world.runtime.slow_connections(at, 0.6);
         }
         for i in 0..10 {
             let id = format!("j-{i}");
-            w.submit_until_accepted(0, &long_job(&id, 4, 20.0)).await;
-            w.run(0.3).await;
-            w.cancel_until_confirmed(0, &id).await;
-            w.run(4.0).await;
+            world
+                .submit_until_accepted(0, &long_job(&id, 4, 20.0))
+                .await;
+            world.run(0.3).await;
+            world.cancel_until_confirmed(0, &id).await;
+            world.run(4.0).await;
         }
-        w.wait_for_all_jobs(60.0).await;
-        assert_eq!(*w.checks.late_starts.borrow(), Vec::<String>::new());
+        world.wait_for_all_jobs(60.0).await;
+        assert_eq!(*world.checks.late_starts.borrow(), Vec::<String>::new());
     });
 }
--- a/src/controller/tests/random_faults.rs
+++ b/src/controller/tests/random_faults.rs
@@ -48,38 +48,38 @@
     spec
 }
 
-fn accepted_jobs(w: &World) -> Vec<String> {
-    let jobs = w.checks.jobs.borrow();
+fn accepted_jobs(world: &World) -> Vec<String> {
+    let jobs = world.checks.jobs.borrow();
     let accepted = jobs.iter().filter(|(_, known)| known.accepted.is_some());
     accepted.map(|(id, _)| id.clone()).collect()
 }
 
 /// A user who submits a job, queries it, and perhaps cancels it at once, in the middle, or at its end.
-async fn run_user(w: Rc<World>, spec: Submission, seed: u64) {
+async fn run_user(world: Rc<World>, spec: Submission, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let id = spec.id.clone();
     let at = rng.random_range(0..NODES);
     let mut tries = 0;
-    while !matches!(w.submit(at, &spec).await.0, 200 | 201) {
-        w.run(1.0).await;
+    while !matches!(world.submit(at, &spec).await.0, 200 | 201) {
+        world.run(1.0).await;
         tries += 1;
         if tries > 90 {
             return;
         }
     }
     if rng.random_bool(0.5) {
-        w.query_all_nodes(&id).await;
+        world.query_all_nodes(&id).await;
     }
     let cancels = match rng.random_range(0..6) {
         0 => true,
         1 => {
-            w.run(rng.random_range(0.0..15.0)).await;
+            world.run(rng.random_range(0.0..15.0)).await;
             true
         }
         2 => {
-            let began = w.now();
-            while !w.checks.is_complete(&id) && w.now() - began < 90.0 {
-                w.run(0.1).await;
+            let began = world.now();
+            while !world.checks.is_complete(&id) && world.now() - began < 90.0 {
+                world.run(0.1).await;
             }
             true
         }
@@ -88,53 +88,53 @@
     if cancels {
         for _ in 0..100 {
             let at = rng.random_range(0..NODES);
-            if let (200, Some(_)) = w.cancel(at, &id).await {
+            if let (200, Some(_)) = world.cancel(at, &id).await {
                 break;
             }
-            w.run(1.0).await;
+            world.run(1.0).await;
         }
-        w.query_all_nodes(&id).await;
+        world.query_all_nodes(&id).await;
     }
-    w.run(rng.random_range(0.0..10.0)).await;
-    w.query_all_nodes(&id).await;
+    world.run(rng.random_range(0.0..10.0)).await;
+    world.query_all_nodes(&id).await;
 }
 
 /// Injects one fault, drawn at random.
-async fn inject_fault(w: &Rc<World>, rng: &mut SmallRng, kept: &mut Vec<Heartbeat>) {
-    let node = match w.leader().filter(|_| rng.random_bool(0.6)) {
+async fn inject_fault(world: &Rc<World>, rng: &mut SmallRng, kept: &mut Vec<Heartbeat>) {
+    let node = match world.leader().filter(|_| rng.random_bool(0.6)) {
         Some(leader) => leader,
         None => rng.random_range(0..NODES),
     };
-    let all = w.all_workers();
+    let all = world.all_workers();
     let some = |rng: &mut SmallRng| -> Vec<Rc<Worker>> {
         let n = rng.random_range(1..4);
         (0..n)
             .map(|_| all[rng.random_range(0..all.len())].clone())
             .collect()
     };
-    let now = w.now();
-    let line = &w.state.links[node];
+    let now = world.now();
+    let line = &world.state.links[node];
     match rng.random_range(0..19) {
         0 | 1 => {
-            w.kill(node);
+            world.kill(node);
             let away = [0.1, 0.8, 3.0, 10.0][rng.random_range(0..4)];
-            w.run(away).await;
-            w.start(node);
+            world.run(away).await;
+            world.start(node);
         }
         2 => {
-            if let Some(node) = w.node(node) {
+            if let Some(node) = world.node(node) {
                 node.leadership.resign.set();
             }
         }
-        3 => w.state.refuse(node, rng.random_range(2.0..25.0)),
-        4 => w.state.outage(rng.random_range(1.0..15.0)),
+        3 => world.state.refuse(node, rng.random_range(2.0..25.0)),
+        4 => world.state.outage(rng.random_range(1.0..15.0)),
         5 => line.stalled_until.set(now + rng.random_range(2.0..40.0)),
         6 => line.lose_answers.set(rng.random_range(1..4)),
         7 => line.late_writes.set(rng.random_range(1..4)),
         8 => line
             .slow_s
             .set([0.0, 0.0, 0.1, 0.3][rng.random_range(0..4)]),
-        9 => w.state.repeat_everything(),
+        9 => world.state.repeat_everything(),
         10 => some(rng)
             .iter()
             .for_each(|k| k.hung_until.set(now + rng.random_range(2.0..40.0))),
@@ -160,36 +160,39 @@
                 else {
                     continue;
                 };
-                join_all((0..NODES).map(|at| w.deliver_heartbeat(at, old))).await;
+                join_all((0..NODES).map(|at| world.deliver_heartbeat(at, old))).await;
             }
         }
         16 => kept.extend(
             all.iter()
                 .filter_map(|k| k.sent_heartbeats.borrow().last().cloned()),
         ),
-        17 => w
+        17 => world
             .partition
             .set(("south", now + rng.random_range(2.0..40.0))),
         _ => {
             if rng.random_bool(0.3) {
-                w.cloud.outage_until.set(now + rng.random_range(5.0..40.0));
+                world
+                    .cloud
+                    .outage_until
+                    .set(now + rng.random_range(5.0..40.0));
             } else if all.len() > MACHINES / 2 {
-                w.remove(&all[rng.random_range(0..all.len())].name);
-                w.cloud.room.set(w.cloud.room.get() + 1);
+                world.remove(&all[rng.random_range(0..all.len())].name);
+                world.cloud.room.set(world.cloud.room.get() + 1);
             }
         }
     }
 }
 
-async fn run_with_faults(w: Rc<World>, seed: u64) {
+async fn run_with_faults(world: Rc<World>, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     for i in 0..MACHINES {
-        w.boot(["north", "south"][i % 2]);
+        world.boot(["north", "south"][i % 2]);
     }
-    w.cloud.room.set(4);
-    w.start_led_by(0).await;
-    let (users, user_seed) = (w.clone(), rng.random());
-    w.services.spawn(async move {
+    world.cloud.room.set(4);
+    world.start_led_by(0).await;
+    let (users, user_seed) = (world.clone(), rng.random());
+    world.services.spawn(async move {
         let mut rng = SmallRng::seed_from_u64(user_seed);
         for number in 0..(FAULTS_S / JOB_S) as usize {
             let spec = draw_job(&mut rng, number, &accepted_jobs(&users));
@@ -208,33 +211,33 @@
         }
     });
     let mut kept = Vec::new();
-    let mut leader = w.leader();
-    while w.now() < FAULTS_S {
-        inject_fault(&w, &mut rng, &mut kept).await;
+    let mut leader = world.leader();
+    while world.now() < FAULTS_S {
+        inject_fault(&world, &mut rng, &mut kept).await;
         let gap = GAP_S * rng.random_range(0.2..1.8);
-        w.run(gap).await;
+        world.run(gap).await;
         // Copies of heartbeats delayed until the next leader.
-        if w.leader().is_some() && w.leader() != leader {
-            leader = w.leader();
+        if world.leader().is_some() && world.leader() != leader {
+            leader = world.leader();
             for heartbeat in kept.drain(..) {
-                join_all((0..NODES).map(|at| w.deliver_heartbeat(at, &heartbeat))).await;
+                join_all((0..NODES).map(|at| world.deliver_heartbeat(at, &heartbeat))).await;
             }
         }
     }
     for node in 0..NODES {
-        if w.node(node).is_none() {
-            w.start(node);
+        if world.node(node).is_none() {
+            world.start(node);
         }
-        w.state.links[node].slow_s.set(0.0);
+        world.state.links[node].slow_s.set(0.0);
     }
     // All faults have ended by then, and users are done.
-    w.run(110.0).await;
-    w.wait_for_all_jobs(END_S).await;
+    world.run(110.0).await;
+    world.wait_for_all_jobs(END_S).await;
 }
 
 #[test]
 fn no_rule_is_violated_under_combined_faults() {
     for seed in 0..4 {
-        run_scenario(|_| {}, move |w| run_with_faults(w, seed));
+        run_scenario(|_| {}, move |world| run_with_faults(world, seed));
     }
 }
--- a/src/controller/tests/requests.rs
+++ b/src/controller/tests/requests.rs
@@ -33,13 +33,13 @@
 
 /// A state service on loopback that shows a job, and its end only to a watch that is answered after the store's
 /// revision was read. During an outage it rejects reads of the revision.
-fn scripted_store(rt: &Runtime, outage: Rc<Cell<bool>>) -> (SocketAddr, Scope) {
-    let mut listener = rt.listen("127.0.0.1:0".parse().unwrap()).unwrap();
+fn scripted_store(runtime: &Runtime, outage: Rc<Cell<bool>>) -> (SocketAddr, Scope) {
+    let mut listener = runtime.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let addr = listener.addr().unwrap();
     let asked = Rc::new(Signal::default());
-    let rt2 = rt.clone();
+    let handler_runtime = runtime.clone();
     let handler = Rc::new(move |request: Request| {
-        let (asked, rt, outage) = (asked.clone(), rt2.clone(), outage.clone());
+        let (asked, runtime, outage) = (asked.clone(), handler_runtime.clone(), outage.clone());
         Box::pin(async move {
             let path = request.path;
             if outage.get() {
@@ -73,12 +73,12 @@
                 );
             }
             // A watch that never gets a change.
-            rt.sleep(WATCH_S).await;
+            runtime.sleep(WATCH_S).await;
             answer(503, "{}".into())
         }) as _
     });
-    let scope = Scope::new(rt);
-    scope.spawn(serve(rt.clone(), listener, LIMITS, handler));
+    let scope = Scope::new(runtime);
+    scope.spawn(serve(runtime.clone(), listener, LIMITS, handler));
     (addr, scope)
 }
 
@@ -100,8 +100,8 @@
 /// each.
 #[test]
 fn peer_heartbeats_rotate_through_a_large_fleet() {
-    Runtime::run::<calloop::Error>(|rt| {
-        let node = Controller::new(rt, Rc::new(crate::config::tests::sample()));
+    Runtime::run::<calloop::Error>(|runtime| {
+        let node = Controller::new(runtime, Rc::new(crate::config::tests::sample()));
         for i in 0..600 {
             let worker = WorkerLocation {
                 machine: format!("i-{i:06}"),
@@ -125,11 +125,16 @@
         for _ in 0..3 {
             let peer_heartbeat = node.peer_heartbeat(&mut told);
             assert!(peer_heartbeat.workers.len() <= peers::WORKERS_PER_HEARTBEAT);
-            all.extend(peer_heartbeat.workers.into_iter().map(|w| w.machine));
+            all.extend(
+                peer_heartbeat
+                    .workers
+                    .into_iter()
+                    .map(|worker| worker.machine),
+            );
         }
         assert_eq!(all.len(), 600);
-        rt.stop();
-        Ok(Scope::new(rt))
+        runtime.stop();
+        Ok(Scope::new(runtime))
     })
     .unwrap();
 }
@@ -139,8 +144,8 @@
 fn the_lease_of_a_previous_incarnation_is_revoked() {
     let ended = Rc::new(Cell::new(false));
     let seen = ended.clone();
-    Runtime::run::<calloop::Error>(move |rt| {
-        let mut listener = rt.listen("127.0.0.1:0".parse().unwrap()).unwrap();
+    Runtime::run::<calloop::Error>(move |runtime| {
+        let mut listener = runtime.listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let mut config = crate::config::tests::sample();
         config.services.state = listener.addr().unwrap();
         let record = crate::store::records::LeaderRecord {
@@ -153,16 +158,17 @@
             keys::leader()
         );
         let pair = stored.clone();
-        let (rt2, ended) = (rt.clone(), ended.clone());
+        let (handler_runtime, ended) = (runtime.clone(), ended.clone());
         let started = Rc::new(Cell::new(false));
         let handler = Rc::new(move |request: Request| {
-            let (rt, ended, started) = (rt2.clone(), ended.clone(), started.clone());
+            let (runtime, ended, started) =
+                (handler_runtime.clone(), ended.clone(), started.clone());
             let (stored, pair) = (stored.clone(), pair.clone());
             Box::pin(async move {
                 let path = request.path.as_str();
                 if request.method == "DELETE" && path.ends_with("/5") {
                     ended.set(true);
-                    rt.stop();
+                    runtime.stop();
                 }
                 if path.starts_with("/keys?") {
                     // There was no leader when this process started and read the store.
@@ -179,13 +185,13 @@
                     let put = pair.replacen("\"K\"", "\"Put\"", 1);
                     return answer(200, format!(r#"{{"Epoch":9,"News":[{put}]}}"#));
                 }
-                rt.sleep(WATCH_S).await;
+                runtime.sleep(WATCH_S).await;
                 answer(503, "{}".into())
             }) as _
         });
-        let root = Scope::new(rt);
-        root.spawn(serve(rt.clone(), listener, LIMITS, handler));
-        let node = Rc::new(Controller::new(rt, Rc::new(config)));
+        let root = Scope::new(runtime);
+        root.spawn(serve(runtime.clone(), listener, LIMITS, handler));
+        let node = Rc::new(Controller::new(runtime, Rc::new(config)));
         root.spawn(node.clone().watch_state());
         root.spawn(node.clone().run_elections());
         Ok(root)
@@ -199,16 +205,16 @@
 fn a_partitioned_controller_serves_nobody_and_names_no_new_leader() {
     let finished = Rc::new(Cell::new(false));
     let end = finished.clone();
-    Runtime::run::<calloop::Error>(move |rt| {
+    Runtime::run::<calloop::Error>(move |runtime| {
         // A state service that rejects everything.
-        let mut listener = rt.listen("127.0.0.1:0".parse().unwrap()).unwrap();
+        let mut listener = runtime.listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let mut config = crate::config::tests::sample();
         config.services.state = listener.addr().unwrap();
         let handler = Rc::new(|_| Box::pin(async { Response::retry_later(503, "no", 1) }) as _);
-        let root = Scope::new(rt);
-        root.spawn(serve(rt.clone(), listener, LIMITS, handler));
-        let node = Rc::new(Controller::new(rt, Rc::new(config)));
-        let rt = rt.clone();
+        let root = Scope::new(runtime);
+        root.spawn(serve(runtime.clone(), listener, LIMITS, handler));
+        let node = Rc::new(Controller::new(runtime, Rc::new(config)));
+        let runtime = runtime.clone();
         root.spawn(node.clone().serve_read_barriers());
         root.spawn(async move {
             // It was the leader; its lease is no longer trusted.
@@ -248,7 +254,7 @@
             assert_eq!(answer.status, 503);
             assert!(answer.retry_after.is_some());
             end.set(true);
-            rt.stop();
+            runtime.stop();
         });
         Ok(root)
     })
@@ -267,14 +273,14 @@
 fn a_follower_answers_no_older_than_the_query() {
     let finished = Rc::new(Cell::new(false));
     let end = finished.clone();
-    Runtime::run::<calloop::Error>(move |rt| {
+    Runtime::run::<calloop::Error>(move |runtime| {
         let outage = Rc::new(Cell::new(false));
-        let (addr, peers) = scripted_store(rt, outage.clone());
+        let (addr, peers) = scripted_store(runtime, outage.clone());
         let mut config = crate::config::tests::sample();
         config.services.state = addr;
-        let node = Rc::new(Controller::new(rt, Rc::new(config)));
-        let root = Scope::new(rt);
-        let rt = rt.clone();
+        let node = Rc::new(Controller::new(runtime, Rc::new(config)));
+        let root = Scope::new(runtime);
+        let runtime = runtime.clone();
         root.spawn(node.clone().watch_state());
         root.spawn(node.clone().serve_read_barriers());
         root.spawn(async move {
@@ -303,7 +309,7 @@
             outage.set(false);
             assert_eq!(node.query("j-2").await.status, 404);
             end.set(true);
-            rt.stop();
+            runtime.stop();
         });
         Ok(root)
     })
@@ -316,8 +322,8 @@
 fn a_leader_round_ends_however_much_there_is_to_write() {
     let written = Rc::new(Cell::new(0));
     let count = written.clone();
-    Runtime::run::<calloop::Error>(move |rt| {
-        let mut listener = rt.listen("127.0.0.1:0".parse().unwrap()).unwrap();
+    Runtime::run::<calloop::Error>(move |runtime| {
+        let mut listener = runtime.listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let mut config = crate::config::tests::sample();
         config.services.state = listener.addr().unwrap();
         let state = &mut config.deployment.state;
@@ -326,27 +332,27 @@
             count.set(count.get() + 1);
             Box::pin(async { answer(200, r#"{"Epoch":300}"#.into()) }) as _
         });
-        let root = Scope::new(rt);
-        root.spawn(serve(rt.clone(), listener, LIMITS, handler));
+        let root = Scope::new(runtime);
+        root.spawn(serve(runtime.clone(), listener, LIMITS, handler));
         let mut store = crate::test_support::FakeStore::default();
         for i in 0..200 {
             store.submit(&job(&format!("j-{i}"), 1));
         }
-        let mut leader = store.elect_with(config.clone(), "n0", rt.now());
+        let mut leader = store.elect_with(config.clone(), "n0", runtime.now());
         leader.end_all();
-        let node = Rc::new(Controller::new(rt, Rc::new(config)));
+        let node = Rc::new(Controller::new(runtime, Rc::new(config)));
         node.leadership.term.set(Some(LeaderTerm {
             fencing_token: leader.fencing_token,
             lease: 1,
             renewal_sent_at: f64::INFINITY,
         }));
-        node.replication.note_current_at(f64::INFINITY);
+        node.replication.record_current_at(f64::INFINITY);
         let fencing_token = leader.fencing_token;
         *node.leadership.leader.borrow_mut() = Some(leader);
-        let rt = rt.clone();
+        let runtime = runtime.clone();
         root.spawn(async move {
             node.write_leader_state(fencing_token).await;
-            rt.stop();
+            runtime.stop();
         });
         Ok(root)
     })
--- a/src/controller/tests/world.rs
+++ b/src/controller/tests/world.rs
@@ -50,7 +50,7 @@
 type Process = (Rc<Controller>, Scope);
 
 pub struct World {
-    pub rt: Runtime,
+    pub runtime: Runtime,
     pub config: Config,
     /// Settings that processes are started with in place of `config`, if set.
     pub config_override: RefCell<Option<Config>>,
@@ -69,11 +69,11 @@
 pub fn default_settings(_: &mut Config) {}
 
 /// Boots machines alternating between the zones, and starts controllers led by the first.
-pub async fn start_cluster(w: &Rc<World>, machines: usize) {
+pub async fn start_cluster(world: &Rc<World>, machines: usize) {
     for i in 0..machines {
-        w.boot(["north", "south"][i % 2]);
+        world.boot(["north", "south"][i % 2]);
     }
-    w.start_led_by(0).await;
+    world.start_led_by(0).await;
 }
 
 /// Runs a script; when it ends, all rules must have held, and every accepted job must have ended or be known.
@@ -83,20 +83,20 @@
 ) {
     let finished = Rc::new(Cell::new(false));
     let end = finished.clone();
-    Runtime::run_in_memory(|rt| {
+    Runtime::run_in_memory(|runtime| {
         let mut config = crate::config::tests::sample();
         config.deployment.nodes = NODES;
         configure(&mut config);
-        let world = World::new(rt, config);
-        let root = Scope::new(rt);
-        let rt = rt.clone();
+        let world = World::new(runtime, config);
+        let root = Scope::new(runtime);
+        let runtime = runtime.clone();
         let work = script(world.clone());
         root.spawn(async move {
             work.await;
             world.checks.assert_no_violations();
             end.set(true);
             world.shut_down();
-            rt.stop();
+            runtime.stop();
         });
         root
     });
@@ -104,13 +104,13 @@
 }
 
 impl World {
-    fn new(rt: &Runtime, config: Config) -> Rc<Self> {
+    fn new(runtime: &Runtime, config: Config) -> Rc<Self> {
         let checks = Rc::new(Checks::new(&config));
-        let services = Scope::new(rt);
-        let state = State::start(rt, &services);
+        let services = Scope::new(runtime);
+        let state = State::start(runtime, &services);
         let cloud = Rc::new(Cloud::default());
         let world = Rc::new(World {
-            rt: rt.clone(),
+            runtime: runtime.clone(),
             config,
             config_override: RefCell::default(),
             state,
@@ -126,11 +126,11 @@
         let watch = world.clone();
         world.services.spawn(async move {
             loop {
-                watch.rt.sleep(TICK_S).await;
+                watch.runtime.sleep(TICK_S).await;
                 watch.step_gangs();
                 watch
                     .checks
-                    .check_all(watch.rt.now(), &watch.workers.borrow());
+                    .check_all(watch.runtime.now(), &watch.workers.borrow());
             }
         });
         world
@@ -145,17 +145,17 @@
     }
 
     fn serve(&self, at: SocketAddr, handler: Handler) {
-        let listener = self.rt.listen(at).unwrap();
-        let served = serve(self.rt.clone(), listener, LIMITS, handler);
+        let listener = self.runtime.listen(at).unwrap();
+        let served = serve(self.runtime.clone(), listener, LIMITS, handler);
         self.services.spawn(served);
     }
 
     pub fn now(&self) -> Time {
-        self.rt.now()
+        self.runtime.now()
     }
 
     pub async fn run(&self, seconds: f64) {
-        self.rt.sleep(seconds).await;
+        self.runtime.sleep(seconds).await;
     }
 
     /// Waits until a condition holds; panics after `limit_s`.
@@ -185,7 +185,7 @@
             .collect();
         config.services.state = state::link_address(at);
         config.services.cloud = cloud::at();
-        let started = start(&self.rt, Rc::new(config)).unwrap();
+        let started = start(&self.runtime, Rc::new(config)).unwrap();
         self.nodes.borrow_mut()[at] = Some(started);
     }
 
@@ -238,6 +238,9 @@
     /// How many tasks of a job are on machines.
     pub fn tasks_on_machines(&self, id: &str) -> usize {
         let workers = self.workers.borrow();
-        workers.values().map(|w| w.tasks_of(id).len()).sum()
+        workers
+            .values()
+            .map(|worker| worker.tasks_of(id).len())
+            .sum()
     }
 }
--- a/src/controller/tests/world/checks.rs
+++ b/src/controller/tests/world/checks.rs
@@ -184,13 +184,13 @@
     pub fn on_task_started(
         &self,
         now: Time,
-        w: &Rc<Worker>,
+        worker: &Rc<Worker>,
         task: &str,
         all: &BTreeMap<String, Rc<Worker>>,
     ) {
         self.starts.set(self.starts.get() + 1);
         let spec = self.spec(task);
-        let name = &w.name;
+        let name = &worker.name;
         let mut zones = Vec::new();
         for other in all.values() {
             let here = other.tasks_of(&spec.id);
@@ -204,9 +204,9 @@
                 self.report_violation("ran_twice", text);
             }
         }
-        let in_zone = zones.iter().filter(|z| **z == w.zone).count();
+        let in_zone = zones.iter().filter(|z| **z == worker.zone).count();
         let types = spec.types.as_ref();
-        let fits = spec.zone.as_ref().is_none_or(|z| *z == w.zone)
+        let fits = spec.zone.as_ref().is_none_or(|z| *z == worker.zone)
             && types.is_none_or(|t| t.iter().any(|t| t == "small"))
             && (!spec.one_zone || in_zone == zones.len())
             && (!spec.spread || in_zone <= (spec.tasks as usize).div_ceil(2));
@@ -231,7 +231,7 @@
 
     fn used(&self, all: &BTreeMap<String, Rc<Worker>>) -> BTreeMap<String, f64> {
         let mut used = BTreeMap::new();
-        for t in all.values().flat_map(|w| w.running_tasks()) {
+        for t in all.values().flat_map(|worker| worker.running_tasks()) {
             let spec = self.spec(&t.task);
             *used.entry(spec.team).or_insert(0.0) += spec.cpus;
         }
@@ -249,14 +249,14 @@
 
     /// Checks the rules at this moment.
     pub fn check_all(&self, now: Time, all: &BTreeMap<String, Rc<Worker>>) {
-        for w in all.values() {
-            for t in w.running_tasks() {
+        for worker in all.values() {
+            for t in worker.running_tasks() {
                 let (id, _) = parse_task_name(&t.task).unwrap();
                 if self
                     .cancellation_reported_at(id)
                     .is_some_and(|at| now > at + self.cancel_s)
                 {
-                    let text = format!("{now:.1}: {} is on {}", t.task, w.name);
+                    let text = format!("{now:.1}: {} is on {}", t.task, worker.name);
                     self.report_violation("ran_cancelled", text);
                 }
             }
@@ -271,20 +271,23 @@
         let used = self.used(all);
         let rooms: Vec<(&str, f64)> = all
             .values()
-            .map(|w| {
-                let taken: f64 = w
+            .map(|worker| {
+                let taken: f64 = worker
                     .running_tasks()
                     .iter()
                     .map(|t| self.spec(&t.task).cpus)
                     .sum();
-                (w.zone.as_str(), MACHINE_CPUS - taken)
+                (worker.zone.as_str(), MACHINE_CPUS - taken)
             })
             .collect();
         for (id, known) in self.jobs.borrow().iter() {
             let Some(spec) = known.spec.as_ref().filter(|_| known.accepted.is_some()) else {
                 continue;
             };
-            let on_machines = all.values().map(|w| w.tasks_of(id).len()).sum::<usize>();
+            let on_machines = all
+                .values()
+                .map(|worker| worker.tasks_of(id).len())
+                .sum::<usize>();
             let done = self.done.borrow();
             let over = (0..spec.tasks).filter(|t| done.contains(&format!("{id}/{t}")));
             let waits = over.count() + on_machines < spec.tasks as usize;
--- a/src/controller/tests/world/cloud.rs
+++ b/src/controller/tests/world/cloud.rs
@@ -57,8 +57,8 @@
         }
         if request.method == "GET" {
             let workers = self.workers.borrow();
-            let machines = workers.values().map(|w| {
-                let r = &w.fake.borrow().heartbeat;
+            let machines = workers.values().map(|worker| {
+                let r = &worker.fake.borrow().heartbeat;
                 ListedMachine {
                     id: r.machine.clone(),
                     addr: r.addr.clone(),
--- a/src/controller/tests/world/gangs.rs
+++ b/src/controller/tests/world/gangs.rs
@@ -41,23 +41,23 @@
 
 impl Gangs {
     /// A task has its image and waits for the others of its attempt.
-    pub fn wait_for_others(&self, w: &Worker, task: &str, attempt: u64) {
-        set_state(w, task, attempt, TaskState::Waiting, None);
+    pub fn wait_for_others(&self, worker: &Worker, task: &str, attempt: u64) {
+        set_state(worker, task, attempt, TaskState::Waiting, None);
         let (id, _) = parse_task_name(task).unwrap();
         let mut attempts = self.attempts.borrow_mut();
         let progress = attempts.entry((id.to_owned(), attempt)).or_default();
-        progress.waiting_since.get_or_insert(w.now());
+        progress.waiting_since.get_or_insert(worker.now());
     }
 }
 
 fn set_state(
-    w: &Worker,
+    worker: &Worker,
     task: &str,
     attempt: u64,
     state: TaskState,
     exit_reason: Option<ExitReason>,
 ) {
-    let mut fake = w.fake.borrow_mut();
+    let mut fake = worker.fake.borrow_mut();
     let tasks = fake.heartbeat.tasks.iter_mut();
     for t in tasks.filter(|t| t.task == task && t.attempt == attempt) {
         t.state = state;
--- a/src/controller/tests/world/state.rs
+++ b/src/controller/tests/world/state.rs
@@ -47,7 +47,7 @@
 }
 
 struct Lease {
-    life_s: f64,
+    lease_duration_s: f64,
     ends: Time,
     keys: Vec<String>,
 }
@@ -59,7 +59,7 @@
 }
 
 pub struct State {
-    rt: Runtime,
+    runtime: Runtime,
     pub store: RefCell<FakeStore>,
     log: RefCell<Vec<LoggedChange>>,
     leases: RefCell<BTreeMap<u64, Lease>>,
@@ -137,9 +137,9 @@
 }
 
 impl State {
-    pub fn start(rt: &Runtime, scope: &Scope) -> Rc<Self> {
+    pub fn start(runtime: &Runtime, scope: &Scope) -> Rc<Self> {
         let state = Rc::new(State {
-            rt: rt.clone(),
+            runtime: runtime.clone(),
             store: RefCell::default(),
             log: RefCell::default(),
             leases: RefCell::default(),
@@ -159,13 +159,13 @@
                 let state = served.clone();
                 Box::pin(async move { state.answer(node, request).await }) as _
             });
-            let listener = rt.listen(link_address(node)).unwrap();
-            scope.spawn(serve(rt.clone(), listener, LIMITS, handler));
+            let listener = runtime.listen(link_address(node)).unwrap();
+            scope.spawn(serve(runtime.clone(), listener, LIMITS, handler));
         }
         let ending = state.clone();
         scope.spawn(async move {
             loop {
-                ending.rt.sleep(0.05).await;
+                ending.runtime.sleep(0.05).await;
                 ending.end_leases();
             }
         });
@@ -173,26 +173,28 @@
     }
 
     pub fn outage(&self, for_s: f64) {
-        self.outage_until.set(self.rt.now() + for_s);
+        self.outage_until.set(self.runtime.now() + for_s);
     }
 
     /// The service rejects all requests of one controller.
     pub fn refuse(&self, node: usize, for_s: f64) {
-        self.links[node].refused_until.set(self.rt.now() + for_s);
+        self.links[node]
+            .refused_until
+            .set(self.runtime.now() + for_s);
     }
 
     fn refuses(&self, node: usize) -> bool {
-        let now = self.rt.now();
+        let now = self.runtime.now();
         now < self.outage_until.get() || now < self.links[node].refused_until.get()
     }
 
     fn end_leases(&self) {
-        let now = self.rt.now();
+        let now = self.runtime.now();
         let mut leases = self.leases.borrow_mut();
         if now < self.outage_until.get() {
             // After an outage every lease has its full time again.
             for lease in leases.values_mut() {
-                lease.ends = self.outage_until.get() + lease.life_s;
+                lease.ends = self.outage_until.get() + lease.lease_duration_s;
             }
             return;
         }
@@ -298,7 +300,7 @@
     async fn handle_request(&self, node: usize, request: Request) -> Response {
         let line = &self.links[node];
         if line.slow_s.get() > 0.0 {
-            self.rt.sleep(line.slow_s.get()).await;
+            self.runtime.sleep(line.slow_s.get()).await;
         }
         if self.refuses(node) {
             return Response::error(503, "trouble");
@@ -341,15 +343,15 @@
             self.sent.borrow_mut().push(txn.clone());
             if line.late_writes.get() > 0 {
                 line.late_writes.set(line.late_writes.get() - 1);
-                self.rt.sleep(LATE_WRITE_S).await;
+                self.runtime.sleep(LATE_WRITE_S).await;
                 self.apply(&txn);
-                self.rt.sleep(NO_REPLY_S).await;
+                self.runtime.sleep(NO_REPLY_S).await;
             }
         }
         let outcome = self.apply(&txn);
         if !txn.changes.is_empty() && line.lose_answers.get() > 0 {
             line.lose_answers.set(line.lose_answers.get() - 1);
-            self.rt.sleep(NO_REPLY_S).await;
+            self.runtime.sleep(NO_REPLY_S).await;
         }
         let revision = self.store.borrow().revision;
         match outcome {
@@ -373,7 +375,7 @@
 
     fn may_change(&self, changes: usize) -> bool {
         let (.., rate) = self.limits.get();
-        let now = self.rt.now();
+        let now = self.runtime.now();
         let (left, at) = self.allowance.get();
         let left = (left + (now - at) * rate).min(rate) - changes as f64;
         let may = left >= 0.0;
@@ -383,16 +385,16 @@
     }
 
     fn lease(&self, method: &str, rest: &str, body: &[u8]) -> Response {
-        let now = self.rt.now();
+        let now = self.runtime.now();
         let mut leases = self.leases.borrow_mut();
         if rest.is_empty() {
             let asked: serde_json::Value = serde_json::from_slice(body).unwrap();
-            let life_s = asked["LifeMs"].as_f64().unwrap() / 1000.0;
+            let lease_duration_s = asked["LifeMs"].as_f64().unwrap() / 1000.0;
             let id = self.next_lease.get() + 1;
             self.next_lease.set(id);
             let lease = Lease {
-                life_s,
-                ends: now + life_s,
+                lease_duration_s,
+                ends: now + lease_duration_s,
                 keys: Vec::new(),
             };
             leases.insert(id, lease);
@@ -405,7 +407,7 @@
         let id: u64 = id.parse().unwrap();
         match leases.get_mut(&id) {
             Some(lease) if renewal => {
-                lease.ends = now + lease.life_s;
+                lease.ends = now + lease.lease_duration_s;
                 Response::json(200, &json!({}))
             }
             Some(_) if method == "DELETE" => {
@@ -453,9 +455,9 @@
         let number = |name| parameter(path, name).and_then(|v| v.parse::<u64>().ok());
         let prefix = parameter(path, "Prefix").unwrap_or_default();
         let after = number("After").unwrap_or(0);
-        let deadline = self.rt.now() + number("BlockMs").unwrap_or(0) as f64 / 1000.0;
+        let deadline = self.runtime.now() + number("BlockMs").unwrap_or(0) as f64 / 1000.0;
         loop {
-            let now = self.rt.now();
+            let now = self.runtime.now();
             // Open watches stay open during an outage.
             let held = self.refuses(node) || now < self.links[node].stalled_until.get();
             if !held {
@@ -475,7 +477,7 @@
                 }
             }
             let wait = if held { 0.1 } else { (deadline - now).min(0.5) };
-            let _ = self.rt.timeout(wait, self.moved.notified()).await;
+            let _ = self.runtime.timeout(wait, self.moved.notified()).await;
         }
     }
 }
--- a/src/controller/tests/world/users.rs
+++ b/src/controller/tests/world/users.rs
@@ -41,7 +41,7 @@
     ) -> Answer {
         // Earlier answers must hold in the answer to a request sent later.
         let before = self.checks.jobs.borrow().get(id).cloned();
-        let client = Client::new(&self.rt, front_address(node), BODY_MAX);
+        let client = Client::new(&self.runtime, front_address(node), BODY_MAX);
         let call = client.call(method, path, body, limit_s).await;
         let Ok((status, body)) = call else {
             return (0, None);
@@ -119,7 +119,7 @@
 
     /// Posts a body that may be no valid submission; returns the status.
     pub async fn post_submission(&self, node: usize, body: &str) -> u16 {
-        let client = Client::new(&self.rt, front_address(node), BODY_MAX);
+        let client = Client::new(&self.runtime, front_address(node), BODY_MAX);
         let call = client.call("POST", paths::JOBS, Some(body.as_bytes()), SUBMIT_S);
         call.await.map_or(0, |(status, _)| status)
     }
@@ -195,7 +195,7 @@
                     return;
                 }
                 let any_lease_lost =
-                    |w: &World| w.all_workers().iter().any(|k| k.has_lost_a_lease());
+                    |world: &World| world.all_workers().iter().any(|k| k.has_lost_a_lease());
                 if complete && reply.1.is_some() && !any_lease_lost(self) {
                     // `done` is due shortly after the last completion, unless no controller could see that in time.
                     self.run(LAG_S).await;
--- a/src/controller/tests/world/workers.rs
+++ b/src/controller/tests/world/workers.rs
@@ -21,7 +21,7 @@
 const BODY_MAX: usize = 1024 * 1024;
 
 pub struct Worker {
-    rt: Runtime,
+    runtime: Runtime,
     lease_s: f64,
     pub name: String,
     pub zone: String,
@@ -76,11 +76,11 @@
     }
 
     pub(super) fn now(&self) -> Time {
-        self.rt.now()
+        self.runtime.now()
     }
 
     fn has_lease(&self) -> bool {
-        self.rt.now() - self.lease_from.get() <= self.lease_s
+        self.runtime.now() - self.lease_from.get() <= self.lease_s
     }
 
     pub fn tasks_of(&self, id: &str) -> Vec<TaskStatus> {
@@ -129,7 +129,7 @@
         fake.heartbeat.addr = at.to_string();
         let now = self.now();
         let worker = Rc::new(Worker {
-            rt: self.rt.clone(),
+            runtime: self.runtime.clone(),
             lease_s: self.config.deployment.workers.lease_s,
             name: name.clone(),
             zone: zone.into(),
@@ -148,10 +148,10 @@
             heartbeats_held_until: Cell::new(0.0),
         });
         self.workers.borrow_mut().insert(name, worker.clone());
-        let (world, w) = (self.clone(), worker.clone());
+        let (world, target) = (self.clone(), worker.clone());
         let handler = Rc::new(move |request: Request| {
-            let (world, w) = (world.clone(), w.clone());
-            Box::pin(async move { world.receive_direct_commands(&w, &request).await }) as _
+            let (world, worker) = (world.clone(), target.clone());
+            Box::pin(async move { world.receive_direct_commands(&worker, &request).await }) as _
         });
         self.serve(at, handler);
         self.services.spawn(self.clone().run_tasks(worker.clone()));
@@ -163,100 +163,106 @@
     /// Removes a machine with everything on it; returns whether it existed.
     pub fn remove(&self, name: &str) -> bool {
         let gone = self.workers.borrow_mut().remove(name);
-        gone.inspect(|w| w.gone.set(true)).is_some()
+        gone.inspect(|worker| worker.gone.set(true)).is_some()
     }
 
     /// Checks the lease and runs the tasks.
-    async fn run_tasks(self: Rc<Self>, w: Rc<Worker>) {
-        while !w.gone.get() {
-            self.rt.sleep(TICK_S).await;
+    async fn run_tasks(self: Rc<Self>, worker: Rc<Worker>) {
+        while !worker.gone.get() {
+            self.runtime.sleep(TICK_S).await;
             let now = self.now();
-            if w.hangs(now) || now < w.up_at {
+            if worker.hangs(now) || now < worker.up_at {
                 continue;
             }
-            self.keep_lease(&w);
-            let mut fake = w.fake.borrow_mut();
+            self.keep_lease(&worker);
+            let mut fake = worker.fake.borrow_mut();
             for t in &mut fake.heartbeat.tasks {
                 let key = (t.task.clone(), t.attempt);
-                let over = w.ends.borrow().get(&key).is_some_and(|end| *end <= now);
+                let over = worker
+                    .ends
+                    .borrow()
+                    .get(&key)
+                    .is_some_and(|end| *end <= now);
                 if t.state == TaskState::Running && over {
                     t.state = TaskState::Exited;
                     t.exit_reason = Some(ExitReason::Done);
                     self.checks.on_task_completed(&t.task);
-                    w.schedule_heartbeat(now);
+                    worker.schedule_heartbeat(now);
                 }
             }
         }
     }
 
-    fn keep_lease(&self, w: &Worker) {
+    fn keep_lease(&self, worker: &Worker) {
         let now = self.now();
-        if !w.has_lease() {
-            let mut fake = w.fake.borrow_mut();
+        if !worker.has_lease() {
+            let mut fake = worker.fake.borrow_mut();
             fake.heartbeat.agent_epoch += 1;
             fake.heartbeat.tasks.clear();
-            w.ends.borrow_mut().clear();
-            w.lease_from.set(now);
-            w.heartbeat_at.set(now);
+            worker.ends.borrow_mut().clear();
+            worker.lease_from.set(now);
+            worker.heartbeat_at.set(now);
         }
     }
 
-    async fn send_heartbeats(self: Rc<Self>, w: Rc<Worker>) {
+    async fn send_heartbeats(self: Rc<Self>, worker: Rc<Worker>) {
         loop {
             let now = self.now();
-            if w.gone.get() {
+            if worker.gone.get() {
                 return;
             }
-            if w.hangs(now) || now < w.heartbeat_at.get() {
-                self.rt.sleep(TICK_S / 5.0).await;
+            if worker.hangs(now) || now < worker.heartbeat_at.get() {
+                self.runtime.sleep(TICK_S / 5.0).await;
                 continue;
             }
-            self.keep_lease(&w);
+            self.keep_lease(&worker);
             let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
-            w.heartbeat_at.set(now + heartbeat_interval_s);
-            let heartbeat = w.fake.borrow_mut().next();
-            w.sent_heartbeats.borrow_mut().push(heartbeat.clone());
-            let node = w.node.get();
+            worker.heartbeat_at.set(now + heartbeat_interval_s);
+            let heartbeat = worker.fake.borrow_mut().next();
+            worker.sent_heartbeats.borrow_mut().push(heartbeat.clone());
+            let node = worker.node.get();
             let next = (node + 1) % NODES;
-            if now < w.heartbeats_blocked_until.get() || self.is_partitioned(&w.zone, node) {
-                w.node.set(next);
-                self.rt.sleep(RETRY_S).await;
-                w.heartbeat_at.set(self.now());
+            if now < worker.heartbeats_blocked_until.get()
+                || self.is_partitioned(&worker.zone, node)
+            {
+                worker.node.set(next);
+                self.runtime.sleep(RETRY_S).await;
+                worker.heartbeat_at.set(self.now());
                 continue;
             }
-            if now < w.heartbeats_held_until.get() {
-                let (world, until) = (self.clone(), w.heartbeats_held_until.get());
+            if now < worker.heartbeats_held_until.get() {
+                let (world, until) = (self.clone(), worker.heartbeats_held_until.get());
                 self.services.spawn(async move {
-                    world.rt.sleep(until - world.now()).await;
+                    world.runtime.sleep(until - world.now()).await;
                     world.deliver_heartbeat(node, &heartbeat).await;
                 });
-                self.rt.sleep(REPLY_TIMEOUT_S).await;
-                w.node.set(next);
-                w.heartbeat_at.set(self.now() + RETRY_S);
+                self.runtime.sleep(REPLY_TIMEOUT_S).await;
+                worker.node.set(next);
+                worker.heartbeat_at.set(self.now() + RETRY_S);
                 continue;
             }
             let answer = self.deliver_heartbeat(node, &heartbeat).await;
-            let lost = self.now() < w.replies_lost_until.get() || w.hangs(self.now());
+            let lost = self.now() < worker.replies_lost_until.get() || worker.hangs(self.now());
             if lost {
-                self.rt
+                self.runtime
                     .sleep((now + REPLY_TIMEOUT_S - self.now()).max(0.0))
                     .await;
             }
             match answer.filter(|_| !lost) {
-                Some((200, body)) => self.receive_reply(&w, &heartbeat, now, &body),
+                Some((200, body)) => self.receive_reply(&worker, &heartbeat, now, &body),
                 Some((421, body)) => {
                     let named: serde_json::Value = serde_json::from_slice(&body).unwrap();
                     let named = named["ReportsTo"]
                         .as_str()
                         .and_then(|n| n[1..].parse().ok());
                     let named = named.filter(|n| *n != node);
-                    w.node.set(named.unwrap_or(next));
+                    worker.node.set(named.unwrap_or(next));
                     let pause = if named.is_some() { 0.1 } else { RETRY_S };
-                    w.heartbeat_at.set(self.now() + pause);
+                    worker.heartbeat_at.set(self.now() + pause);
                 }
                 _ => {
-                    w.node.set(next);
-                    w.heartbeat_at.set(self.now() + RETRY_S);
+                    worker.node.set(next);
+                    worker.heartbeat_at.set(self.now() + RETRY_S);
                 }
             }
         }
@@ -269,31 +275,31 @@
         heartbeat: &Heartbeat,
     ) -> Option<(u16, Vec<u8>)> {
         let body = serde_json::to_vec(heartbeat).unwrap();
-        let client = Client::new(&self.rt, front_address(node), BODY_MAX);
+        let client = Client::new(&self.runtime, front_address(node), BODY_MAX);
         let call = client.call("POST", paths::HEARTBEAT, Some(&body), REPLY_TIMEOUT_S);
         call.await.ok()
     }
 
-    fn receive_reply(&self, w: &Rc<Worker>, heartbeat: &Heartbeat, sent: Time, body: &[u8]) {
+    fn receive_reply(&self, worker: &Rc<Worker>, heartbeat: &Heartbeat, sent: Time, body: &[u8]) {
         let reply: HeartbeatReply = serde_json::from_slice(body).unwrap();
         let (agent_epoch, fencing_token) = {
-            let fake = w.fake.borrow();
+            let fake = worker.fake.borrow();
             (fake.heartbeat.agent_epoch, fake.heartbeat.fencing_token)
         };
         if agent_epoch != heartbeat.agent_epoch
             || reply.fencing_token < fencing_token
-            || w.gone.get()
+            || worker.gone.get()
         {
             return;
         }
-        w.lease_from.set(w.lease_from.get().max(sent));
+        worker.lease_from.set(worker.lease_from.get().max(sent));
         if reply.fencing_token > fencing_token {
-            w.schedule_heartbeat(self.now());
+            worker.schedule_heartbeat(self.now());
         }
-        self.execute(w, reply.fencing_token, &reply.commands);
+        self.execute(worker, reply.fencing_token, &reply.commands);
     }
 
-    async fn receive_direct_commands(&self, w: &Rc<Worker>, request: &Request) -> Response {
+    async fn receive_direct_commands(&self, worker: &Rc<Worker>, request: &Request) -> Response {
         #[derive(serde::Deserialize)]
         struct RequestBody {
             #[serde(rename = "Baton")]
@@ -304,8 +310,8 @@
             commands: Vec<Command>,
         }
         let asked: RequestBody = serde_json::from_slice(&request.body).unwrap();
-        if self.now() < w.replies_lost_until.get() {
-            self.rt.sleep(REPLY_TIMEOUT_S * 10.0).await;
+        if self.now() < worker.replies_lost_until.get() {
+            self.runtime.sleep(REPLY_TIMEOUT_S * 10.0).await;
             return Response::error(503, "lost");
         }
         let sender = self
@@ -316,48 +322,56 @@
             .copied();
         loop {
             let now = self.now();
-            let cut = sender.is_some_and(|node| self.is_partitioned(&w.zone, node));
-            if !(cut || w.hangs(now) || now < w.commands_held_until.get() || now < w.up_at) {
+            let cut = sender.is_some_and(|node| self.is_partitioned(&worker.zone, node));
+            if !(cut
+                || worker.hangs(now)
+                || now < worker.commands_held_until.get()
+                || now < worker.up_at)
+            {
                 break;
             }
-            self.rt.sleep(TICK_S).await;
+            self.runtime.sleep(TICK_S).await;
         }
-        if w.gone.get() {
+        if worker.gone.get() {
             return Response::error(503, "gone");
         }
-        self.keep_lease(w);
+        self.keep_lease(worker);
         {
-            let mut fake = w.fake.borrow_mut();
+            let mut fake = worker.fake.borrow_mut();
             let r = &mut fake.heartbeat;
             r.sequence += 1;
             if asked.fencing_token < r.fencing_token || asked.agent_epoch != r.agent_epoch {
                 return Response::json(409, &*r);
             }
         }
-        self.execute(w, asked.fencing_token, &asked.commands);
-        Response::json(200, &w.fake.borrow().heartbeat)
+        self.execute(worker, asked.fencing_token, &asked.commands);
+        Response::json(200, &worker.fake.borrow().heartbeat)
     }
 
-    fn execute(&self, w: &Rc<Worker>, fencing_token: u64, commands: &[Command]) {
+    fn execute(&self, worker: &Rc<Worker>, fencing_token: u64, commands: &[Command]) {
         for command in commands {
-            let before = w.running_tasks().len();
-            w.fake
+            let before = worker.running_tasks().len();
+            worker
+                .fake
                 .borrow_mut()
                 .execute(fencing_token, std::slice::from_ref(command));
             if let Command::Start { task, attempt } = command
-                && w.running_tasks().len() > before
+                && worker.running_tasks().len() > before
             {
                 if self.checks.spec(task).kind == JobKind::Gang {
-                    self.gangs.wait_for_others(w, task, *attempt);
+                    self.gangs.wait_for_others(worker, task, *attempt);
                 } else {
                     let key = (task.clone(), *attempt);
                     let run_time_s = self.checks.run_time_s(task);
-                    w.ends.borrow_mut().insert(key, self.now() + run_time_s);
+                    worker
+                        .ends
+                        .borrow_mut()
+                        .insert(key, self.now() + run_time_s);
                 }
                 self.checks
-                    .on_task_started(self.now(), w, task, &self.workers.borrow());
+                    .on_task_started(self.now(), worker, task, &self.workers.borrow());
             }
         }
-        w.fake.borrow_mut().heartbeat.fencing_token = fencing_token;
+        worker.fake.borrow_mut().heartbeat.fencing_token = fencing_token;
     }
 }
--- a/src/controller/users/cancellations.rs
+++ b/src/controller/users/cancellations.rs
@@ -28,7 +28,7 @@
             let replica = self.replication.replica.borrow();
             match replica.jobs.get(id).filter(|j| j.is_known()) {
                 None => return Response::error(404, "no such job"),
-                Some(job) if job.is_over() => return job_answer(id, job),
+                Some(job) if job.has_ended() => return job_answer(id, job),
                 Some(job) => (job.accepted_revision, job.tasks_done()),
             }
         };
--- a/src/controller/users/requests.rs
+++ b/src/controller/users/requests.rs
@@ -87,7 +87,7 @@
     /// The answer with a job's final state: it needs no read barrier, as an end never changes.
     pub(crate) fn final_state(&self, id: &str) -> Option<Response> {
         let replica = self.replication.replica.borrow();
-        let job = replica.jobs.get(id).filter(|j| j.is_over())?;
+        let job = replica.jobs.get(id).filter(|j| j.has_ended())?;
         Some(job_answer(id, job))
     }
 
--- a/src/controller/users/writes.rs
+++ b/src/controller/users/writes.rs
@@ -93,7 +93,7 @@
             self.user_writes.adapt_rate(&outcome);
             match outcome {
                 TxnOutcome::Applied(_) | TxnOutcome::Conflict(_) | TxnOutcome::TooLarge => {
-                    self.replication.note_store_contact(self.now());
+                    self.replication.record_store_contact(self.now());
                     return outcome;
                 }
                 // The same again does no harm: it creates only what is absent.
--- a/src/controller/workers/delegation.rs
+++ b/src/controller/workers/delegation.rs
@@ -177,7 +177,7 @@
         };
         match self.store.txn(&compare).await {
             TxnOutcome::Applied(revision) => {
-                self.replication.note_store_contact(self.now());
+                self.replication.record_store_contact(self.now());
                 match self.wait_for_revision(revision).await {
                     Ok(()) => DelegationStatus::InForce,
                     Err(_) => DelegationStatus::Unknown,
--- a/src/controller/workers/delegation/tests.rs
+++ b/src/controller/workers/delegation/tests.rs
@@ -41,14 +41,14 @@
 fn reports_are_answered_for_the_leader_only_while_its_word_stands() {
     let finished = Rc::new(Cell::new(false));
     let end = finished.clone();
-    Runtime::run::<calloop::Error>(move |rt| {
-        let mut listener = rt.listen("127.0.0.1:0".parse().unwrap()).unwrap();
+    Runtime::run::<calloop::Error>(move |runtime| {
+        let mut listener = runtime.listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let mut config = crate::config::tests::sample();
         config.services.state = listener.addr().unwrap();
         let asked = Rc::new(Cell::new(0));
-        let (rt2, count) = (rt.clone(), asked.clone());
+        let (handler_runtime, count) = (runtime.clone(), asked.clone());
         let handler = Rc::new(move |request: Request| {
-            let (rt, asked) = (rt2.clone(), count.clone());
+            let (runtime, asked) = (handler_runtime.clone(), count.clone());
             Box::pin(async move {
                 if request.path.starts_with("/keys?") {
                     return answer(200, stored());
@@ -59,16 +59,16 @@
                     return answer(status, body.into());
                 }
                 // A watch for what never comes.
-                rt.sleep(crate::controller::replication::WATCH_S).await;
+                runtime.sleep(crate::controller::replication::WATCH_S).await;
                 answer(503, "{}".into())
             }) as _
         });
-        let root = Scope::new(rt);
-        root.spawn(serve(rt.clone(), listener, LIMITS, handler));
-        let node = Rc::new(Controller::new(rt, Rc::new(config)));
+        let root = Scope::new(runtime);
+        root.spawn(serve(runtime.clone(), listener, LIMITS, handler));
+        let node = Rc::new(Controller::new(runtime, Rc::new(config)));
         root.spawn(node.clone().watch_state());
         root.spawn(node.clone().check_delegations());
-        let rt = rt.clone();
+        let runtime = runtime.clone();
         root.spawn(async move {
             while !node.replication.is_loaded.get() {
                 node.replication.advanced.notified().await;
@@ -104,7 +104,7 @@
             assert_eq!(ask(&mut w).await.status, 421);
             assert_eq!(asked.get(), 3);
             end.set(true);
-            rt.stop();
+            runtime.stop();
         });
         Ok(root)
     })
--- a/src/controller/workers/heartbeats.rs
+++ b/src/controller/workers/heartbeats.rs
@@ -71,7 +71,7 @@
         now: Time,
     ) -> Option<Response> {
         let (commands, has_work_waiting) = self.with_leader(fencing_token, |leader| {
-            leader.note_worker_contact(now);
+            leader.record_worker_contact(now);
             let commands = leader.on_heartbeat(heartbeat, HeartbeatOrigin::Periodic, now);
             (commands, leader.has_work_waiting())
         })?;
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -37,9 +37,9 @@
     /// The fencing token of this term.
     fencing_token: u64,
     /// When this term began.
-    began: Time,
+    term_started_at: Time,
     /// Silence after which a worker has surely ended its tasks, in seconds.
-    pub(crate) off_after_s: f64,
+    pub(crate) worker_lease_expiry_s: f64,
     /// When any worker last made contact.
     last_worker_contact: Time,
     /// The last pause of this process.
@@ -60,10 +60,10 @@
             zones,
             index_by_name: HashMap::new(),
             next_index: 0,
-            off_after_s: config.worker_lease_expiry_s(),
+            worker_lease_expiry_s: config.worker_lease_expiry_s(),
             config,
             fencing_token,
-            began: now,
+            term_started_at: now,
             last_worker_contact: now,
             pause: ProcessPause::default(),
         }
--- a/src/fleet/delegations.rs
+++ b/src/fleet/delegations.rs
@@ -161,7 +161,7 @@
     }
 
     /// Whether what is stored of any isn't what is wanted.
-    pub(super) fn need_write(&self) -> bool {
+    pub(super) fn has_pending_write(&self) -> bool {
         self.by_zone.values().any(Delegation::needs_write)
     }
 
--- a/src/fleet/liveness.rs
+++ b/src/fleet/liveness.rs
@@ -31,7 +31,7 @@
 
 impl Fleet {
     /// A worker made contact at this moment.
-    pub(crate) fn note_worker_contact(&mut self, now: Time) {
+    pub(crate) fn record_worker_contact(&mut self, now: Time) {
         self.last_worker_contact = now;
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// This process was paused: what it did not receive meanwhile is no silence of the machines.
-    pub(crate) fn note_pause(&mut self, pause: ProcessPause) {
+    pub(crate) fn record_pause(&mut self, pause: ProcessPause) {
         self.pause = pause;
     }
 
@@ -80,7 +80,8 @@
     /// worker's lease expires within `cancel_s` in any case.
     pub(crate) fn in_doubt_limit_s(&self) -> f64 {
         let workers = &self.config.deployment.workers;
-        let remaining_s = workers.cancel_s - self.off_after_s - self.config.leader_lease_s();
+        let remaining_s =
+            workers.cancel_s - self.worker_lease_expiry_s - self.config.leader_lease_s();
         (workers.heartbeat_interval_s * self.config.tunables.silent_reports).min(remaining_s)
     }
 
@@ -102,7 +103,7 @@
             .iter()
             .filter(|(_, machine)| !machine.attempts.is_empty())
         {
-            if now - self.lease_may_run_from(machine, now) > self.off_after_s {
+            if now - self.lease_may_run_from(machine, now) > self.worker_lease_expiry_s {
                 expired.extend(machine.attempts.keys().map(|key| (*index, *key)));
             } else if self.is_heartbeat_overdue(machine, now)
                 || machine.unresponsive_since.is_some()
@@ -120,7 +121,7 @@
         let last = [machine.last_acknowledged_at, machine.last_contact_at]
             .into_iter()
             .flatten()
-            .fold(self.began, f64::max);
+            .fold(self.term_started_at, f64::max);
         // Delegates may have answered in this leader's name.
         let delegated = self.zones.answered_until(&machine.zone, now);
         delegated.map_or(last, |at| last.max(at))
@@ -185,19 +186,20 @@
             // left was never trusted again, nor the others replaced.
             let last = machine
                 .last_heartbeat_or_first_contact()
-                .unwrap_or(self.began);
+                .unwrap_or(self.term_started_at);
             let far_too_long = evidence.live_machines > 0
-                && self.silence_s(last, now) > self.off_after_s * DISTRUSTED_SILENCE_LIMIT;
+                && self.silence_s(last, now)
+                    > self.worker_lease_expiry_s * DISTRUSTED_SILENCE_LIMIT;
             return (evidence.trusted || far_too_long) && self.is_silent(machine, catalog, now);
         }
         if let Some(running_since) = machine.running_since {
-            return evidence.trusted && is_silent_since(running_since.max(self.began));
+            return evidence.trusted && is_silent_since(running_since.max(self.term_started_at));
         }
         if machine.listed_at.is_some() || machine.type_index.is_some() {
             let boot_s = machine.type_index.map_or(lease_s, |t| catalog[t].boot_s);
             return now - machine.rented_at > boot_s * self.config.tunables.lost_boots;
         }
         // Known only from a former leader's records.
-        evidence.trusted && is_silent_since(self.began)
+        evidence.trusted && is_silent_since(self.term_started_at)
     }
 }
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -209,16 +209,16 @@
     }
 
     /// Whether a task that takes more than `share` of it is or may be on it.
-    pub fn has_large(&self, share: f64) -> bool {
+    pub fn runs_large_task(&self, share: f64) -> bool {
         self.attempts
             .values()
-            .any(|a| !a.completed && a.amount.largest_share(self.capacity) > share)
+            .any(|a| !a.completed && a.resources.largest_share(self.capacity) > share)
     }
 
     /// Adds an attempt that is or may be on it.
     pub(crate) fn add_attempt(&mut self, key: AttemptKey, task_attempt: TaskAttempt) {
         if !task_attempt.completed {
-            self.used = self.used.plus(task_attempt.amount);
+            self.used = self.used.plus(task_attempt.resources);
         }
         self.attempts.insert(key, task_attempt);
     }
@@ -227,7 +227,7 @@
     pub(crate) fn remove_attempt(&mut self, key: &AttemptKey) -> Option<TaskAttempt> {
         let task_attempt = self.attempts.remove(key)?;
         if !task_attempt.completed {
-            self.release_resources(task_attempt.amount);
+            self.release_resources(task_attempt.resources);
         }
         Some(task_attempt)
     }
@@ -239,18 +239,18 @@
         {
             task_attempt.completed = true;
             task_attempt.state = Some(TaskState::Exited);
-            let amount = task_attempt.amount;
-            self.release_resources(amount);
+            let resources = task_attempt.resources;
+            self.release_resources(resources);
         }
         self.consecutive_failures = 0;
         self.failed_jobs.clear();
     }
 
-    fn release_resources(&mut self, amount: Resources) {
+    fn release_resources(&mut self, resources: Resources) {
         self.used = if self.is_empty() {
             Resources::default()
         } else {
-            self.used.minus(amount)
+            self.used.minus(resources)
         };
     }
 
--- a/src/fleet/machine/heartbeats.rs
+++ b/src/fleet/machine/heartbeats.rs
@@ -67,7 +67,7 @@
         if origin == HeartbeatOrigin::Periodic {
             self.last_heartbeat_at = Some(now);
         }
-        self.preemption_at = heartbeat.notice_s.map(|s| now + s);
+        self.preemption_at = heartbeat.preemption_notice_s.map(|s| now + s);
     }
 
     /// A worker that receives the answers sends one heartbeat after the other here. One whose answers are
--- a/src/fleet/machine_catalog.rs
+++ b/src/fleet/machine_catalog.rs
@@ -3,7 +3,7 @@
 use std::ops::Index;
 use std::rc::Rc;
 
-use crate::jobs::amount;
+use crate::jobs::task_resources;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::Submission;
 use crate::resources::Resources;
@@ -127,5 +127,5 @@
             .zone
             .as_ref()
             .is_none_or(|zone| machine_type.zones.contains(zone))
-        && amount(spec).fits(capacity_of_type(machine_type))
+        && task_resources(spec).fits(capacity_of_type(machine_type))
 }
--- a/src/fleet/task_attempt.rs
+++ b/src/fleet/task_attempt.rs
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone)]
 pub struct TaskAttempt {
     /// The resources it takes.
-    pub amount: Resources,
+    pub resources: Resources,
     /// Assigned or first seen before this term: a former leader may have launched it.
     pub inherited: bool,
     /// Its state as last reported, if any heartbeat listed it.
@@ -78,9 +78,9 @@
 
 impl TaskAttempt {
     /// An attempt that this leader assigned or, if `inherited`, one that it found.
-    pub(crate) fn new(amount: Resources, inherited: bool, now: Time) -> Self {
+    pub(crate) fn new(resources: Resources, inherited: bool, now: Time) -> Self {
         TaskAttempt {
-            amount,
+            resources,
             inherited,
             state: None,
             launch_sent: false,
--- a/src/fleet/zones.rs
+++ b/src/fleet/zones.rs
@@ -72,8 +72,8 @@
     }
 
     /// Whether a delegation is to be written.
-    pub(crate) fn wants_write(&self) -> bool {
-        self.delegations.need_write()
+    pub(crate) fn has_pending_write(&self) -> bool {
+        self.delegations.has_pending_write()
     }
 
     /// Adds at most `most` writes of delegations to a transaction; returns their zones.
@@ -134,7 +134,7 @@
             ..
         } = &mut self.zones;
         let is_partitioned = |zone: &str| partitioned_until.contains_key(zone);
-        delegations.retain(is_partitioned, self.off_after_s, now);
+        delegations.retain(is_partitioned, self.worker_lease_expiry_s, now);
         self.probe_partitioned_zones();
     }
 
@@ -187,7 +187,10 @@
     /// For how many seconds no machine of a zone made contact.
     fn zone_silence_s(&self, zone: &Rc<str>, now: Time) -> f64 {
         let at = self.zones.last_contact_at.get(zone).copied();
-        self.silence_s(at.unwrap_or(self.began).max(self.began), now)
+        self.silence_s(
+            at.unwrap_or(self.term_started_at).max(self.term_started_at),
+            now,
+        )
     }
 
     /// Whether a machine is in a zone that counts as partitioned.
@@ -202,7 +205,7 @@
         let workers = &self.config.deployment.workers;
         let last = machine
             .last_heartbeat_or_first_contact()
-            .unwrap_or(self.began);
+            .unwrap_or(self.term_started_at);
         let ended_at = self.zones.partition_ended_at.get(&machine.zone);
         let mut limit_s = workers.heartbeat_interval_s * self.config.tunables.silent_reports;
         let mut since = last;
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -58,7 +58,7 @@
 
 /// A client of one address, with a few connections kept open.
 pub struct Client {
-    rt: Runtime,
+    runtime: Runtime,
     to: SocketAddr,
     idle: RefCell<Vec<IdleConnection>>,
     body_max: usize,
@@ -86,9 +86,9 @@
 
 impl Client {
     /// A client of the server at `to`, whose responses have at most `body_max` bytes.
-    pub fn new(rt: &Runtime, to: SocketAddr, body_max: usize) -> Self {
+    pub fn new(runtime: &Runtime, to: SocketAddr, body_max: usize) -> Self {
         Client {
-            rt: rt.clone(),
+            runtime: runtime.clone(),
             to,
             idle: RefCell::default(),
             body_max,
@@ -115,12 +115,16 @@
         limit_s: f64,
         is_still_wanted: impl Fn() -> bool,
     ) -> Result<(u16, Vec<u8>), CallError> {
-        let deadline = self.rt.now() + limit_s;
+        let deadline = self.runtime.now() + limit_s;
         let mut stream = match self.take_idle() {
             Some(stream) => stream,
             None => {
                 // A connection that times out is dropped, so it is never completed later.
-                match self.rt.timeout(limit_s, self.rt.connect(self.to)).await {
+                match self
+                    .runtime
+                    .timeout(limit_s, self.runtime.connect(self.to))
+                    .await
+                {
                     Ok(Ok(stream)) => stream,
                     Ok(Err(e)) => return Err(CallError::NotSent(e.into())),
                     Err(e) => return Err(CallError::NotSent(e.into())),
@@ -135,8 +139,8 @@
             stream.write_all(&request).await?;
             read_response(&mut stream, self.body_max).await
         };
-        let left = deadline - self.rt.now();
-        match self.rt.timeout(left, exchange).await {
+        let left = deadline - self.runtime.now();
+        match self.runtime.timeout(left, exchange).await {
             Ok(Ok(response)) => {
                 if response.keep {
                     self.keep_idle(stream);
@@ -155,13 +159,13 @@
     fn keep_idle(&self, stream: Stream) {
         let mut idle = self.idle.borrow_mut();
         if idle.len() < IDLE_MAX {
-            let since = self.rt.now();
+            let since = self.runtime.now();
             idle.push(IdleConnection { stream, since });
         }
     }
 
     fn take_idle(&self) -> Option<Stream> {
-        let now = self.rt.now();
+        let now = self.runtime.now();
         loop {
             let mut connection = self.idle.borrow_mut().pop()?;
             if now - connection.since < IDLE_S && connection.stream.is_reusable() {
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -79,7 +79,7 @@
 
 /// State shared by the connections of a server.
 struct Server {
-    rt: Runtime,
+    runtime: Runtime,
     limits: ServerLimits,
     handler: Handler,
     live: Cell<usize>,
@@ -101,7 +101,9 @@
     fn evict_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         match idle.first_entry() {
-            Some(first) if self.rt.now() - first.get().since >= self.limits.evictable_idle_s => {
+            Some(first)
+                if self.runtime.now() - first.get().since >= self.limits.evictable_idle_s =>
+            {
                 first.remove().evict.set();
                 true
             }
@@ -114,11 +116,11 @@
         let id = self.next_idle_id.get();
         self.next_idle_id.set(id + 1);
         let connection = IdleConnection {
-            since: self.rt.now(),
+            since: self.runtime.now(),
             evict: evict.clone(),
         };
         self.idle.borrow_mut().insert(id, connection);
-        let ready = self.rt.timeout(self.limits.idle_s, stream.readable());
+        let ready = self.runtime.timeout(self.limits.idle_s, stream.readable());
         let ready = std::pin::pin!(ready);
         let evicted = std::pin::pin!(evict.wait());
         let ready = matches!(select(ready, evicted).await, Either::Left((Ok(()), _)));
@@ -139,7 +141,7 @@
                 }
             }
             let arrival = self
-                .rt
+                .runtime
                 .timeout(limits.request_s, read_request(&mut stream, &mut buf))
                 .await;
             let arrival = match arrival {
@@ -147,18 +149,18 @@
                 Ok(Ok(None)) => return,
                 Ok(Err(bad)) => {
                     let response = Response::error(bad.status(), &bad.to_string());
-                    return Box::pin(refuse(&self.rt, &mut stream, response)).await;
+                    return Box::pin(refuse(&self.runtime, &mut stream, response)).await;
                 }
                 Err(_) => {
                     let response = Response::error(408, "request too slow");
-                    return Box::pin(refuse(&self.rt, &mut stream, response)).await;
+                    return Box::pin(refuse(&self.runtime, &mut stream, response)).await;
                 }
             };
             let response = (self.handler)(arrival.request).await;
             let close = arrival.close || self.live.get() >= limits.close_after_response_from();
             let response = response.encode(close);
             let sent = self
-                .rt
+                .runtime
                 .timeout(limits.request_s, stream.write_all(&response))
                 .await;
             if close || !matches!(sent, Ok(Ok(()))) {
@@ -169,10 +171,15 @@
 }
 
 /// Serves connections until cancelled.
-pub async fn serve(rt: Runtime, mut listener: Listener, limits: ServerLimits, handler: Handler) {
-    let scope = Scope::new(&rt);
+pub async fn serve(
+    runtime: Runtime,
+    mut listener: Listener,
+    limits: ServerLimits,
+    handler: Handler,
+) {
+    let scope = Scope::new(&runtime);
     let server = Rc::new(Server {
-        rt: rt.clone(),
+        runtime: runtime.clone(),
         limits,
         handler,
         live: Cell::new(0),
@@ -181,7 +188,7 @@
     });
     // Further connections are rejected at once. For some there is time to read what they send first: closing might
     // reset the connection before the client sees the response.
-    let rejected = Scope::new(&rt);
+    let rejected = Scope::new(&runtime);
     loop {
         match listener.accept().await {
             Ok(stream) if scope.live() < limits.connections || server.evict_idle() => {
@@ -193,24 +200,24 @@
                 });
             }
             Ok(stream) if rejected.live() < limits.rejected_max() => {
-                rejected.spawn(reject(rt.clone(), stream));
+                rejected.spawn(reject(runtime.clone(), stream));
             }
             Ok(mut stream) => {
                 // The send buffer of a new socket takes so little at once.
                 let response = too_many_connections().encode(true);
                 let write = stream.write_all(&response);
-                let _ = rt.timeout(IMMEDIATE_WRITE_S, write).await;
+                let _ = runtime.timeout(IMMEDIATE_WRITE_S, write).await;
             }
             Err(error) => {
                 tracing::warn!(%error, "accepting a connection failed");
-                rt.sleep(ACCEPT_RETRY_S).await;
+                runtime.sleep(ACCEPT_RETRY_S).await;
             }
         }
     }
 }
 
-async fn reject(rt: Runtime, mut stream: Stream) {
-    refuse(&rt, &mut stream, too_many_connections()).await;
+async fn reject(runtime: Runtime, mut stream: Stream) {
+    refuse(&runtime, &mut stream, too_many_connections()).await;
 }
 
 fn too_many_connections() -> Response {
@@ -218,9 +225,11 @@
 }
 
 /// Sends a response after which the connection is closed.
-async fn refuse(rt: &Runtime, stream: &mut Stream, response: Response) {
+async fn refuse(runtime: &Runtime, stream: &mut Stream, response: Response) {
     let bytes = response.encode(true);
-    let _ = rt.timeout(ERROR_WRITE_S, stream.write_all(&bytes)).await;
+    let _ = runtime
+        .timeout(ERROR_WRITE_S, stream.write_all(&bytes))
+        .await;
     // What the client still sends is read for a moment: closing would reset the connection, and the client might
     // never see the response.
     let drain = async {
@@ -233,7 +242,7 @@
             }
         }
     };
-    let _ = rt.timeout(DRAIN_S, drain).await;
+    let _ = runtime.timeout(DRAIN_S, drain).await;
 }
 
 /// Reads a request; `None` if the connection ends or fails before its end.
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -68,8 +68,8 @@
 ) {
     let finished = Rc::new(Cell::new(false));
     let end = finished.clone();
-    Runtime::run::<calloop::Error>(move |rt| {
-        let mut listener = rt.listen("127.0.0.1:0".parse().unwrap()).unwrap();
+    Runtime::run::<calloop::Error>(move |runtime| {
+        let mut listener = runtime.listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let addr = listener.addr().unwrap();
         let limits = ServerLimits {
             connections,
@@ -79,13 +79,13 @@
         };
         let handler: Handler =
             Rc::new(|_| Box::pin(async { Response::json(200, &serde_json::json!({})) }));
-        let root = Scope::new(rt);
-        root.spawn(serve(rt.clone(), listener, limits, handler));
-        let (rt, clients) = (rt.clone(), clients(rt.clone(), addr));
+        let root = Scope::new(runtime);
+        root.spawn(serve(runtime.clone(), listener, limits, handler));
+        let (runtime, clients) = (runtime.clone(), clients(runtime.clone(), addr));
         root.spawn(async move {
             clients.await;
             end.set(true);
-            rt.stop();
+            runtime.stop();
         });
         Ok(root)
     })
@@ -96,11 +96,11 @@
 /// A leader may have more workers than sockets: none of them is kept out by those that came first.
 #[test]
 fn many_more_clients_than_connections_are_all_served() {
-    with_server(4, 1e9, |rt, addr| async move {
+    with_server(4, 1e9, |runtime, addr| async move {
         let mut kept = Vec::new();
         let mut closed = 0;
         for _ in 0..40 {
-            let mut stream = rt.connect(addr).await.unwrap();
+            let mut stream = runtime.connect(addr).await.unwrap();
             let answer = exchange(&mut stream).await;
             assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
             closed += usize::from(answer.contains("Connection: close"));
@@ -114,15 +114,15 @@
 #[test]
 fn a_connection_idle_for_too_long_is_evicted_and_others_are_not() {
     for (evictable_idle_s, status) in [(0.0, "HTTP/1.1 200"), (1e9, "HTTP/1.1 503")] {
-        with_server(5, evictable_idle_s, move |rt, addr| async move {
+        with_server(5, evictable_idle_s, move |runtime, addr| async move {
             let mut idle = Vec::new();
             for _ in 0..4 {
-                let mut stream = rt.connect(addr).await.unwrap();
+                let mut stream = runtime.connect(addr).await.unwrap();
                 exchange(&mut stream).await;
                 idle.push(stream);
             }
-            let _fifth = rt.connect(addr).await.unwrap();
-            let mut sixth = rt.connect(addr).await.unwrap();
+            let _fifth = runtime.connect(addr).await.unwrap();
+            let mut sixth = runtime.connect(addr).await.unwrap();
             let answer = exchange(&mut sixth).await;
             assert!(answer.starts_with(status), "{answer}");
             assert_eq!(answer.contains("Retry-After"), evictable_idle_s > 0.0);
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -22,7 +22,7 @@
 pub type RecordNumber = u64;
 
 /// The resources that each task of a job takes.
-pub fn amount(spec: &Submission) -> Resources {
+pub fn task_resources(spec: &Submission) -> Resources {
     Resources {
         cpus: spec.cpus,
         gpus: spec.gpus,
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use super::assignment_log::LoggedState;
-use super::{MachineIndex, RecordNumber, amount};
+use super::{MachineIndex, RecordNumber, task_resources};
 use crate::jobs::class_key::class_key;
 use crate::protocol::users::{JobKind, Submission};
 use crate::resources::Resources;
@@ -44,7 +44,7 @@
     /// The index of its team in the settings.
     pub team: usize,
     /// The revision of its creation: the order of acceptance.
-    pub order: u64,
+    pub acceptance_order: u64,
     /// When it was submitted, as far as this controller knows: its own deadline counts from then.
     pub submitted_at: Time,
     /// When it could begin: all other times count from then.
@@ -61,19 +61,19 @@
     /// Tasks that came off their machines, to be placed once more.
     requeued: Vec<u32>,
     /// How many tasks are done.
-    pub done: u32,
+    pub done_tasks: u32,
     /// How many tasks may be on machines and are not done.
     pub assigned_tasks: u32,
     /// How it ended, if it did.
-    pub ended: Option<JobEnd>,
+    pub end: Option<JobEnd>,
     /// Whether the end, if any, is stored.
     pub end_stored: bool,
     /// Not to be placed before this moment.
     pub backoff_until: Time,
     /// Machines on which its tasks failed since one completed.
-    pub failed_on: HashSet<MachineIndex>,
+    pub failed_machines: HashSet<MachineIndex>,
     /// Machines on which tasks of the present attempt of a gang failed.
-    pub failed_in_attempt: HashSet<MachineIndex>,
+    pub failed_machines_in_attempt: HashSet<MachineIndex>,
     /// The last backoff, in seconds.
     pub backoff_s: f64,
     /// How many of its attempts are or may be on machines, completed ones included.
@@ -86,7 +86,7 @@
         id: Rc<str>,
         spec: Rc<Submission>,
         team: usize,
-        order: u64,
+        acceptance_order: u64,
         submitted_at: Time,
     ) -> Self {
         Job {
@@ -95,7 +95,7 @@
             tasks: vec![Task::Pending; spec.tasks as usize],
             spec,
             team,
-            order,
+            acceptance_order,
             submitted_at,
             ready_at: submitted_at,
             is_blocked: false,
@@ -103,13 +103,13 @@
             dependency_parts: 0,
             next_unplaced: 0,
             requeued: Vec::new(),
-            done: 0,
+            done_tasks: 0,
             assigned_tasks: 0,
-            ended: None,
+            end: None,
             end_stored: false,
             backoff_until: 0.0,
-            failed_on: HashSet::new(),
-            failed_in_attempt: HashSet::new(),
+            failed_machines: HashSet::new(),
+            failed_machines_in_attempt: HashSet::new(),
             backoff_s: 0.0,
             live_attempts: 0,
         }
@@ -128,13 +128,13 @@
     }
 
     /// The resources that each task takes.
-    pub fn amount(&self) -> Resources {
-        amount(&self.spec)
+    pub fn task_resources(&self) -> Resources {
+        task_resources(&self.spec)
     }
 
     /// Tasks that are on no machine and not done.
-    pub fn pending(&self) -> u32 {
-        self.spec.tasks - self.done - self.assigned_tasks
+    pub fn pending_tasks(&self) -> u32 {
+        self.spec.tasks - self.done_tasks - self.assigned_tasks
     }
 
     /// The state of a task.
@@ -204,7 +204,7 @@
             Task::Pending => {}
         }
         self.tasks[task as usize] = Task::Done { recorded_by };
-        self.done += 1;
+        self.done_tasks += 1;
     }
 
     /// Whether it is stored that a task is done.
--- a/src/jobs/objectives.rs
+++ b/src/jobs/objectives.rs
@@ -4,7 +4,7 @@
 use crate::protocol::users::Submission;
 
 /// How soon tasks of a class should start.
-pub fn strictest_start_s(config: &Config, spec: &Submission) -> f64 {
+pub fn strictest_start_target_s(config: &Config, spec: &Submission) -> f64 {
     let team_has_guarantee = config
         .team(&spec.team)
         .is_some_and(|t| t.cpus > 0.0 || t.gpus > 0.0);
--- a/src/jobs/team_usage.rs
+++ b/src/jobs/team_usage.rs
@@ -21,15 +21,15 @@
     }
 
     /// A team uses so much more.
-    pub fn add(&mut self, team: usize, amount: Resources) {
+    pub fn add(&mut self, team: usize, resources: Resources) {
         let used = &mut self.used[team];
-        *used = used.plus(amount);
+        *used = used.plus(resources);
     }
 
     /// A team uses so much less.
-    pub fn subtract(&mut self, team: usize, amount: Resources) {
+    pub fn subtract(&mut self, team: usize, resources: Resources) {
         let used = &mut self.used[team];
-        *used = used.minus(amount);
+        *used = used.minus(resources);
     }
 
     /// Whether a team stays within its limit if it uses so much more. A limit of 0 is none.
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -59,7 +59,7 @@
     /// The fencing token of this term: every write is conditional on it, every command carries it.
     pub fencing_token: u64,
     /// When the term began.
-    pub began: Time,
+    pub term_started_at: Time,
     /// The machine types on offer.
     pub catalog: MachineCatalog,
     /// Machines, the attempts on them, zones.
@@ -88,7 +88,7 @@
 impl Leader {
     /// Begins a term from what is stored. The replica must have reached the revision of the election, which is the fencing
     /// token.
-    pub fn begin(
+    pub fn start_term(
         config: Rc<Config>,
         fencing_token: u64,
         machine_types: Rc<Vec<MachineType>>,
@@ -98,7 +98,7 @@
     ) -> Self {
         let mut leader = Leader {
             fencing_token,
-            began: now,
+            term_started_at: now,
             catalog: MachineCatalog::new(machine_types),
             fleet: Fleet::new(
                 config.clone(),
@@ -140,8 +140,8 @@
     }
 
     /// A worker made contact at this moment.
-    pub fn note_worker_contact(&mut self, now: Time) {
-        self.fleet.note_worker_contact(now);
+    pub fn record_worker_contact(&mut self, now: Time) {
+        self.fleet.record_worker_contact(now);
     }
 
     /// When any worker last made contact.
@@ -150,8 +150,8 @@
     }
 
     /// This process was paused.
-    pub fn note_pause(&mut self, pause: ProcessPause) {
-        self.fleet.note_pause(pause);
+    pub fn record_pause(&mut self, pause: ProcessPause) {
+        self.fleet.record_pause(pause);
     }
 
     /// The index of the job with this id.
@@ -188,13 +188,13 @@
     /// The team of a job uses the resources of one more of its tasks.
     pub(crate) fn charge_team(&mut self, index: JobIndex) {
         let job = &self.jobs[&index];
-        self.team_usage.add(job.team, job.amount());
+        self.team_usage.add(job.team, job.task_resources());
     }
 
     /// The team of a job uses the resources of one less of its tasks.
     pub(crate) fn release_team(&mut self, index: JobIndex) {
         let job = &self.jobs[&index];
-        self.team_usage.subtract(job.team, job.amount());
+        self.team_usage.subtract(job.team, job.task_resources());
     }
 
     /// A new number for an attempt, used by no term before: a term counts from its fencing token, and never uses up the numbers
@@ -217,7 +217,7 @@
             return;
         };
         job.assign(task, machine_index, attempt, None);
-        let task_attempt = TaskAttempt::new(job.amount(), false, now);
+        let task_attempt = TaskAttempt::new(job.task_resources(), false, now);
         let key = AttemptKey {
             job: index,
             task,
--- a/src/leader/assignment_writes.rs
+++ b/src/leader/assignment_writes.rs
@@ -100,7 +100,7 @@
             let Some(mut pending) = self.pending.remove(&index) else {
                 continue;
             };
-            let Some(job) = source.jobs.get(&index).filter(|j| j.ended.is_none()) else {
+            let Some(job) = source.jobs.get(&index).filter(|j| j.end.is_none()) else {
                 continue;
             };
             pending.tasks.sort_unstable();
--- a/src/leader/deadline_propagation.rs
+++ b/src/leader/deadline_propagation.rs
@@ -11,7 +11,7 @@
     /// Propagates priority and deadline of unfinished jobs to all that they depend on, directly or indirectly: a dependency has
     /// at least their priority, and is due by their deadline less their own run time.
     pub(super) fn propagate_requirements(&mut self, from: impl IntoIterator<Item = JobIndex>) {
-        let open = |leader: &Leader, index: &JobIndex| leader.jobs[index].ended.is_none();
+        let open = |leader: &Leader, index: &JobIndex| leader.jobs[index].end.is_none();
         let from: Vec<JobIndex> = from.into_iter().filter(|index| open(self, index)).collect();
         let leader: RefCell<&mut Leader> = RefCell::new(self);
         let dependencies = |index: JobIndex| -> Vec<JobIndex> {
@@ -26,10 +26,7 @@
                 job.spec.priority,
                 leader.done_by(job) - leader.autoscaler.expected_run_s(job),
             );
-            let Some(dependency) = leader
-                .jobs
-                .get_mut(&dependency)
-                .filter(|j| j.ended.is_none())
+            let Some(dependency) = leader.jobs.get_mut(&dependency).filter(|j| j.end.is_none())
             else {
                 return false;
             };
@@ -46,7 +43,7 @@
         };
         dependency_graph::propagate_requirements(
             from,
-            |index| leader.borrow().jobs[&index].order,
+            |index| leader.borrow().jobs[&index].acceptance_order,
             dependencies,
             raise,
         );
--- a/src/leader/direct_commands.rs
+++ b/src/leader/direct_commands.rs
@@ -2,7 +2,7 @@
 
 use super::Leader;
 use crate::fleet::{DirectCommandOutcome, DirectCommands, HeartbeatOrigin};
-use crate::jobs::objectives::strictest_start_s;
+use crate::jobs::objectives::strictest_start_target_s;
 use crate::jobs::task_name::task_name;
 use crate::jobs::{JobIndex, MachineIndex, Task};
 use crate::protocol::workers::{Command, Heartbeat};
@@ -62,7 +62,7 @@
                 }
             } else if may_launch
                 && task_attempt.awaits_launch(origin)
-                && job.ended.is_none()
+                && job.end.is_none()
                 && job.is_assignment_stored(key.task, key.attempt)
             {
                 task_attempt.record_launch(origin);
@@ -111,7 +111,7 @@
         match outcome {
             DirectCommandOutcome::Done(heartbeat) | DirectCommandOutcome::Refused(heartbeat) => {
                 if heartbeat.fencing_token <= self.fencing_token {
-                    self.note_worker_contact(now);
+                    self.record_worker_contact(now);
                     self.on_heartbeat(&heartbeat, HeartbeatOrigin::DirectReply, now);
                 }
             }
@@ -135,7 +135,7 @@
         let Task::Assigned { machine, .. } = job.task(task) else {
             return;
         };
-        let mut start_s = strictest_start_s(&self.config, &job.spec);
+        let mut start_s = strictest_start_target_s(&self.config, &job.spec);
         if job.is_chain_step_with_deadline() {
             start_s = start_s.min(self.autoscaler.expected_run_s(job));
         }
--- a/src/leader/failure_attribution.rs
+++ b/src/leader/failure_attribution.rs
@@ -31,13 +31,13 @@
             return;
         };
         // A faulty job fails everywhere: where others of its tasks complete, it is the machine.
-        if !job.is_gang() && job.done >= COMPLETED_PER_FAILED {
+        if !job.is_gang() && job.done_tasks >= COMPLETED_PER_FAILED {
             self.quarantine(machine_index);
             return;
         }
-        job.failed_on.insert(machine_index);
-        job.failed_in_attempt.insert(machine_index);
-        let failed_on = job.failed_on.len();
+        job.failed_machines.insert(machine_index);
+        job.failed_machines_in_attempt.insert(machine_index);
+        let failed_on = job.failed_machines.len();
         if failed_on >= JOB_FAULT_MACHINES {
             job.backoff_s = (job.backoff_s * 2.0)
                 .max(heartbeat_interval_s * JOB_BACKOFF_HEARTBEATS_MIN)
@@ -68,12 +68,12 @@
         let Some(job) = self.jobs.get_mut(&index).filter(|j| j.live_attempts == 0) else {
             return;
         };
-        let failed = std::mem::take(&mut job.failed_in_attempt);
+        let failed = std::mem::take(&mut job.failed_machines_in_attempt);
         if failed.len() * COMPLETED_PER_FAILED as usize > job.spec.tasks as usize {
             return;
         }
         for machine_index in failed {
-            job.failed_on.remove(&machine_index);
+            job.failed_machines.remove(&machine_index);
             if let Some(machine) = self.fleet.machines.get_mut(&machine_index) {
                 machine.quarantine();
             }
--- a/src/leader/job_lifecycle.rs
+++ b/src/leader/job_lifecycle.rs
@@ -43,13 +43,13 @@
         job.ready_at = stored.ready_at.unwrap_or(job.submitted_at);
         job.is_blocked = stored.is_blocked;
         job.dependency_parts = stored.dependency_parts;
-        job.ended = stored.end.map(|e| e.end);
+        job.end = stored.end.map(|e| e.end);
         job.end_stored = stored.end.is_some();
-        let ended = job.ended.is_some();
+        let ended = job.end.is_some();
         let index = self.jobs.insert(job);
         self.inherit_tasks(index, stored, now);
         let job = &self.jobs[&index];
-        if !ended && job.done == job.spec.tasks {
+        if !ended && job.done_tasks == job.spec.tasks {
             self.finish(index, JobEnd::Done);
         } else if !ended && stored.dependency_cancelled {
             self.finish(index, JobEnd::Cancelled);
@@ -57,7 +57,7 @@
         self.enqueue_if_pending(index);
         self.mark_if_finished(index);
         if !self.jobs[&index].is_blocked {
-            self.note_arrival(index);
+            self.record_arrival(index);
         }
         self.request_placement();
         Some(index)
@@ -107,8 +107,8 @@
         };
         job.assign(key.task, machine_index, key.attempt, Some(number));
         let task_attempt = TaskAttempt {
-            stop_grace_s: job.ended.is_some().then_some(0.0),
-            ..TaskAttempt::new(job.amount(), true, now)
+            stop_grace_s: job.end.is_some().then_some(0.0),
+            ..TaskAttempt::new(job.task_resources(), true, now)
         };
         if let Some(machine) = self.fleet.machines.get_mut(&machine_index) {
             machine.add_attempt(key, task_attempt);
@@ -128,14 +128,14 @@
         job.is_blocked = false;
         job.ready_at = now;
         self.enqueue_if_pending(index);
-        self.note_arrival(index);
+        self.record_arrival(index);
         self.request_placement();
     }
 
     /// A dependency of a job, direct or indirect, is cancelled: the job ends as well, and its end is stored within the write
     /// budget.
     pub fn on_dependency_cancelled(&mut self, id: &str) {
-        let open = |index: &JobIndex| self.jobs.get(index).is_some_and(|j| j.ended.is_none());
+        let open = |index: &JobIndex| self.jobs.get(index).is_some_and(|j| j.end.is_none());
         if let Some(index) = self.job_index(id).filter(open) {
             if let Some(job) = self.jobs.get_mut(&index) {
                 job.is_blocked = false;
@@ -150,7 +150,7 @@
             return;
         };
         if let Some(job) = self.jobs.get_mut(&index) {
-            job.ended = Some(end.end);
+            job.end = Some(end.end);
             job.end_stored = true;
         }
         self.writer.end_is_stored(index);
@@ -200,7 +200,7 @@
     /// A task came off its machine without being done.
     pub(crate) fn on_task_released(&mut self, index: JobIndex, task: u32, now: Time) {
         let job = &self.jobs[&index];
-        if job.is_gang() && job.assigned_tasks > 0 && job.ended.is_none() {
+        if job.is_gang() && job.assigned_tasks > 0 && job.end.is_none() {
             // The other tasks of the attempt can't go on: it ends now and starts anew as a whole.
             self.stop_job(index, 0.0, now);
         }
@@ -212,7 +212,7 @@
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
-        if job.ended.is_some() {
+        if job.end.is_some() {
             return;
         }
         if job.is_gang() {
@@ -223,13 +223,13 @@
         } else {
             job.complete(key.task, None);
         }
-        job.failed_on.clear();
+        job.failed_machines.clear();
         job.backoff_s = 0.0;
         if let Some(ran) = ran {
-            self.note_run(key.job, ran);
+            self.record_run_time(key.job, ran);
         }
         let job = &self.jobs[&key.job];
-        if job.done == job.spec.tasks {
+        if job.done_tasks == job.spec.tasks {
             self.finish(key.job, JobEnd::Done);
         } else {
             // A gang is done as a whole: only an array comes here.
@@ -249,7 +249,7 @@
     /// A job ends: nothing of it is placed any more, and its end is to be written.
     pub(super) fn finish(&mut self, index: JobIndex, end: JobEnd) {
         if let Some(job) = self.jobs.get_mut(&index) {
-            job.ended = Some(end);
+            job.end = Some(end);
         }
         self.dequeue(index);
         self.writer.mark_ended(index);
@@ -268,7 +268,7 @@
     /// Lets the scheduler place a job, if tasks of it are pending.
     pub(crate) fn enqueue_if_pending(&mut self, index: JobIndex) {
         let job = &self.jobs[&index];
-        if job.ended.is_none() && !job.is_blocked && job.pending() > 0 {
+        if job.end.is_none() && !job.is_blocked && job.pending_tasks() > 0 {
             self.enqueue(index);
         }
     }
--- a/src/leader/reconciliation.rs
+++ b/src/leader/reconciliation.rs
@@ -220,7 +220,7 @@
             .map(|since| now - since);
         self.on_task_done(key, run_s, now);
         let job = &self.jobs[&key.job];
-        ExitedAttempt::reap_if(job.ended.is_some() || job.is_completion_stored(key.task))
+        ExitedAttempt::reap_if(job.end.is_some() || job.is_completion_stored(key.task))
     }
 
     /// An attempt that was on a machine has exited without having completed.
@@ -241,7 +241,7 @@
             && let Some(job) = self.jobs.get_mut(&key.job)
         {
             // Another attempt, perhaps one that must not be reaped, is in the way there.
-            job.failed_on.insert(index);
+            job.failed_machines.insert(index);
         }
         self.release_attempt(index, key, now);
     }
@@ -249,13 +249,13 @@
     /// An attempt is on a machine, in this state.
     fn on_task_alive(&mut self, index: MachineIndex, key: AttemptKey, state: TaskState, now: Time) {
         let job = &self.jobs[&key.job];
-        let must_stop = job.ended.is_some() || !self.is_bound(index, key);
-        let amount = job.amount();
+        let must_stop = job.end.is_some() || !self.is_bound(index, key);
+        let resources = job.task_resources();
         let Some(machine) = self.fleet.machines.get_mut(&index) else {
             return;
         };
         if !machine.attempts.contains_key(&key) {
-            machine.add_attempt(key, TaskAttempt::new(amount, true, now));
+            machine.add_attempt(key, TaskAttempt::new(resources, true, now));
             self.on_attempt_added(key.job);
         }
         let Some(machine) = self.fleet.machines.get_mut(&index) else {
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -58,9 +58,9 @@
         if tracing::enabled!(tracing::Level::DEBUG) {
             diagnostics::log_fleet(&self.fleet, &self.catalog);
         }
-        let (term_began, fencing_token) = (self.began, self.fencing_token);
+        let (term_started_at, fencing_token) = (self.term_started_at, self.fencing_token);
         let (autoscaler, inputs) = self.autoscaler_with_inputs(now);
-        autoscaler.rent(plan, &inputs, term_began, fencing_token);
+        autoscaler.rent(plan, &inputs, term_started_at, fencing_token);
     }
 
     /// The autoscaler, and what its decisions need.
@@ -114,7 +114,7 @@
         for index in plan.evict {
             self.evict_gracefully(index);
         }
-        for index in plan.give_back {
+        for index in plan.return_now {
             self.return_machine(index, "not needed");
         }
     }
@@ -159,7 +159,7 @@
             (CloudCall::List { .. }, CloudAnswer::List(page, more)) => {
                 autoscaler.on_list_page(&page, more, &mut self.fleet, &self.catalog, now);
             }
-            (CloudCall::List { .. }, _) => autoscaler.cloud.note_list_failure(),
+            (CloudCall::List { .. }, _) => autoscaler.cloud.record_list_failure(),
             (CloudCall::Rent(rent, role), CloudAnswer::Rented(names)) => {
                 autoscaler.cloud.dequeue_rental();
                 let (fleet, catalog) = (&mut self.fleet, &self.catalog);
@@ -185,22 +185,23 @@
             self.autoscaler.cloud.dequeue_return(index);
             self.remove_machine(index, now);
         }
-        self.autoscaler.cloud.note_returned(name.into());
+        self.autoscaler.cloud.record_returned(name.into());
     }
 
     /// Records the arrival of a job.
-    pub(crate) fn note_arrival(&mut self, index: JobIndex) {
-        self.autoscaler.note_arrival(&self.jobs[&index].spec);
+    pub(crate) fn record_arrival(&mut self, index: JobIndex) {
+        self.autoscaler.record_arrival(&self.jobs[&index].spec);
     }
 
     /// Records the run time of a task, in seconds.
-    pub(crate) fn note_run(&mut self, index: JobIndex, run_s: f64) {
-        self.autoscaler.note_run(&self.jobs[&index].class, run_s);
+    pub(crate) fn record_run_time(&mut self, index: JobIndex, run_s: f64) {
+        self.autoscaler
+            .record_run_time(&self.jobs[&index].class, run_s);
     }
 
     /// Below which priority jobs may borrow machines of a type that are kept for large work.
-    pub(crate) fn borrowable_below(&self, type_index: usize) -> Option<Priority> {
-        self.autoscaler.borrowable_below(
+    pub(crate) fn borrowing_priority_limit(&self, type_index: usize) -> Option<Priority> {
+        self.autoscaler.borrowing_priority_limit(
             type_index,
             &self.catalog,
             &self.scheduler.rule,
--- a/src/leader/scheduling.rs
+++ b/src/leader/scheduling.rs
@@ -13,8 +13,8 @@
         if !self.take_placement_request() || self.scheduler.waiting_jobs.is_empty() {
             return;
         }
-        let borrowable_below = |type_index| self.borrowable_below(type_index);
-        let mut pass = SchedulingPass::new(&self.scheduling_view(now), borrowable_below);
+        let borrowing_priority_limit = |type_index| self.borrowing_priority_limit(type_index);
+        let mut pass = SchedulingPass::new(&self.scheduling_view(now), borrowing_priority_limit);
         if pass.has_no_candidates() {
             return;
         }
@@ -23,7 +23,7 @@
                 continue;
             };
             self.assign_all(index, &assignments, now);
-            if self.jobs[&index].pending() == 0 {
+            if self.jobs[&index].pending_tasks() == 0 {
                 self.dequeue(index);
             }
         }
@@ -41,15 +41,19 @@
 
     /// Preempts small tasks of lower priority where large work of a class waits and no machine can be had.
     pub(crate) fn preempt_for(&mut self, class: &JobClass, units: &[CapacityUnit], now: Time) {
-        let kept_for_large = || units.iter().filter(|unit| unit.is_planned_large());
+        let kept_for_large = || {
+            units
+                .iter()
+                .filter(|unit| unit.is_planned_for_large_tasks())
+        };
         let request = PreemptionRequest {
             priority: class.spec.priority,
             waiting_tasks: class.pending_tasks as usize,
             ready_machines: kept_for_large()
-                .filter(|unit| unit.up && !unit.has_small && !unit.has_large)
+                .filter(|unit| unit.up && !unit.runs_small_tasks && !unit.runs_large_tasks)
                 .count(),
             occupied_machines: kept_for_large()
-                .filter(|unit| unit.has_small)
+                .filter(|unit| unit.runs_small_tasks)
                 .filter_map(|unit| unit.index)
                 .collect(),
         };
--- a/src/leader/state_writer.rs
+++ b/src/leader/state_writer.rs
@@ -209,8 +209,8 @@
             }
             let job = &source.jobs[index];
             let record = EndRecord {
-                end: job.ended.unwrap_or(JobEnd::Done),
-                tasks_done: job.done,
+                end: job.end.unwrap_or(JobEnd::Done),
+                tasks_done: job.done_tasks,
                 ended_unix_ms: source.unix_ms,
             };
             draft.require_absent(keys::job_end(&job.id));
--- a/src/leader/transaction_outcomes.rs
+++ b/src/leader/transaction_outcomes.rs
@@ -42,9 +42,9 @@
     /// When something that isn't due yet is to be written, if anything is.
     pub fn next_write_at(&self) -> Option<Time> {
         let limits = &self.config.deployment.state;
-        let has_delegations = self.fleet.zones.wants_write();
+        let has_delegations = self.fleet.zones.has_pending_write();
         self.writer
-            .next_write_at(limits, has_delegations, self.began)
+            .next_write_at(limits, has_delegations, self.term_started_at)
     }
 
     /// Takes in the outcome of the transaction in flight.
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -25,12 +25,12 @@
 
 impl LeaderTerm {
     /// Until when this controller may act as the leader, if its replica holds everything that was stored at the moment
-    /// `replica_current_at`, and the lease is trusted for `trusted_life_s`.
+    /// `replica_current_at`, and the lease is trusted for `trusted_lease_s`.
     ///
     /// A renewal alone proves nothing of the replica: a leader whose watch stalls while its lease is renewed would
     /// answer workers for ever without stopping the tasks of jobs that were cancelled at other controllers.
-    pub fn trusted_until(&self, replica_current_at: Time, trusted_life_s: f64) -> Time {
-        self.renewal_sent_at.min(replica_current_at) + trusted_life_s
+    pub fn trusted_until(&self, replica_current_at: Time, trusted_lease_s: f64) -> Time {
+        self.renewal_sent_at.min(replica_current_at) + trusted_lease_s
     }
 }
 
@@ -77,12 +77,12 @@
 
 /// Campaigns for leadership: creates the leader's key under a new lease, if it is absent.
 pub async fn campaign(
-    rt: &Runtime,
+    runtime: &Runtime,
     store: &StoreClient,
     config: &Rc<Config>,
     incarnation: u64,
 ) -> Result<LeaderTerm, CampaignError> {
-    let lease_requested_at = rt.now();
+    let lease_requested_at = runtime.now();
     let lease = store
         .grant_lease(config.leader_lease_s())
         .await
@@ -155,11 +155,11 @@
 
 /// Renews the lease of a term.
 pub async fn renew_term(
-    rt: &Runtime,
+    runtime: &Runtime,
     store: &StoreClient,
     term: &mut LeaderTerm,
 ) -> RenewalOutcome {
-    let sent_at = rt.now();
+    let sent_at = runtime.now();
     match store.renew_lease(term.lease).await {
         Ok(LeaseRenewal::Renewed) => {
             term.renewal_sent_at = sent_at;
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -103,7 +103,7 @@
     pub fencing_token: u64,
     /// Preemption notice: seconds until the cloud takes the spot machine back.
     #[serde(rename = "RecallS", default)]
-    pub notice_s: Option<f64>,
+    pub preemption_notice_s: Option<f64>,
     /// All tasks on the machine, exited ones too until they are forgotten.
     #[serde(rename = "Legs")]
     pub tasks: Vec<TaskStatus>,
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -63,7 +63,7 @@
         setup: impl FnOnce(&Runtime) -> Result<Scope, E>,
     ) -> Result<(), E> {
         let (mut event_loop, scheduler) = event_loop()?;
-        let rt = Runtime(Rc::new(Inner {
+        let runtime = Runtime(Rc::new(Inner {
             handle: event_loop.handle(),
             scheduler,
             clock: Box::new(SystemClock::start()),
@@ -73,13 +73,13 @@
             is_stopped: Cell::new(false),
             last_pause: Cell::default(),
         }));
-        let _root = setup(&rt)?;
-        while !rt.0.is_stopped.get() {
-            let wait = rt.until_next_timer();
-            let before = rt.now();
+        let _root = setup(&runtime)?;
+        while !runtime.0.is_stopped.get() {
+            let wait = runtime.until_next_timer();
+            let before = runtime.now();
             event_loop.dispatch(wait, &mut ())?;
-            rt.detect_pause(before, wait);
-            rt.fire_timers();
+            runtime.detect_pause(before, wait);
+            runtime.fire_timers();
         }
         Ok(())
     }
--- a/src/runtime/in_memory_network.rs
+++ b/src/runtime/in_memory_network.rs
@@ -33,10 +33,10 @@
 
 /// Counts the polls of a routine: after a turn of the loop without any, no routine can run.
 pub fn count_polls(
-    rt: &Runtime,
+    runtime: &Runtime,
     work: impl Future<Output = ()> + 'static,
 ) -> impl Future<Output = ()> + 'static {
-    let polls = rt.0.network.as_ref().map(|n| n.polls.clone());
+    let polls = runtime.0.network.as_ref().map(|n| n.polls.clone());
     let mut work = Box::pin(work);
     std::future::poll_fn(move |cx| {
         if let Some(polls) = &polls {
@@ -51,7 +51,7 @@
     pub fn run_in_memory(setup: impl FnOnce(&Runtime) -> Scope) {
         let (mut event_loop, scheduler) = event_loop().unwrap();
         let clock = Rc::new(Cell::new(0.0));
-        let rt = Runtime(Rc::new(Inner {
+        let runtime = Runtime(Rc::new(Inner {
             handle: event_loop.handle(),
             scheduler,
             clock: Box::new(ManualClock(clock.clone())),
@@ -60,10 +60,10 @@
             is_stopped: Cell::new(false),
             last_pause: Cell::default(),
         }));
-        let _root = setup(&rt);
-        let polls = rt.0.network.as_ref().unwrap().polls.clone();
+        let _root = setup(&runtime);
+        let polls = runtime.0.network.as_ref().unwrap().polls.clone();
         let mut turns = 0;
-        while !rt.0.is_stopped.get() {
+        while !runtime.0.is_stopped.get() {
             let before = polls.get();
             event_loop.dispatch(Some(Duration::ZERO), &mut ()).unwrap();
             turns += 1;
@@ -72,12 +72,12 @@
                 continue;
             }
             turns = 0;
-            let Some(next) = rt.0.timers.borrow().first() else {
+            let Some(next) = runtime.0.timers.borrow().first() else {
                 return;
             };
             // Half a microsecond further: after rounding the timer must be due.
             clock.set(clock.get().max((next.at_us as f64 + 0.5) / 1e6));
-            rt.fire_timers();
+            runtime.fire_timers();
         }
     }
 }
--- a/src/runtime/scope.rs
+++ b/src/runtime/scope.rs
@@ -10,7 +10,7 @@
 
 /// Owner of routines. Dropping it cancels them, and with each of them the scopes that it owns itself.
 pub struct Scope {
-    rt: Runtime,
+    runtime: Runtime,
     shared: Rc<ScopeState>,
 }
 
@@ -22,9 +22,9 @@
 
 impl Scope {
     /// A scope without routines.
-    pub fn new(rt: &Runtime) -> Self {
+    pub fn new(runtime: &Runtime) -> Self {
         Scope {
-            rt: rt.clone(),
+            runtime: runtime.clone(),
             shared: Rc::default(),
         }
     }
@@ -33,7 +33,7 @@
     pub fn spawn(&self, work: impl Future<Output = ()> + 'static) {
         let shared = self.shared.clone();
         shared.live.set(shared.live.get() + 1);
-        self.rt.spawn(async move {
+        self.runtime.spawn(async move {
             {
                 let work = std::pin::pin!(work);
                 let cancel = std::pin::pin!(shared.cancel.wait());
--- a/src/runtime/sockets.rs
+++ b/src/runtime/sockets.rs
@@ -146,8 +146,8 @@
 
     /// The next connection.
     pub async fn accept(&mut self) -> io::Result<Stream> {
-        let (io, rt) = match &mut self.0 {
-            Backlog::Tcp(io, rt) => (io, rt),
+        let (io, runtime) = match &mut self.0 {
+            Backlog::Tcp(io, runtime) => (io, runtime),
             #[cfg(test)]
             Backlog::InMemory(backlog) => {
                 return Ok(Stream(Connection::InMemory(backlog.accept().await)));
@@ -156,7 +156,7 @@
         loop {
             match io.get_mut().accept() {
                 Ok((stream, _)) => {
-                    let mut io = rt.register(stream)?;
+                    let mut io = runtime.register(stream)?;
                     io.get_mut().set_nodelay(true)?;
                     return Ok(Stream(Connection::Tcp(io)));
                 }
--- a/src/runtime/tests.rs
+++ b/src/runtime/tests.rs
@@ -32,14 +32,14 @@
 fn a_scope_that_ends_takes_its_routines_and_theirs_along() {
     let ended: Rc<Log> = Rc::default();
     let seen = ended.clone();
-    Runtime::run::<calloop::Error>(move |rt| {
-        let (rt, root) = (rt.clone(), Scope::new(rt));
-        let parent = Scope::new(&rt);
+    Runtime::run::<calloop::Error>(move |runtime| {
+        let (runtime, root) = (runtime.clone(), Scope::new(runtime));
+        let parent = Scope::new(&runtime);
         let started = Rc::new(Signal::default());
-        let (inner_rt, inner_started, log) = (rt.clone(), started.clone(), ended.clone());
+        let (inner_runtime, inner_started, log) = (runtime.clone(), started.clone(), ended.clone());
         parent.spawn(async move {
             let _guard = Guard(log.clone(), "parent");
-            let children = Scope::new(&inner_rt);
+            let children = Scope::new(&inner_runtime);
             children.spawn(async move {
                 let _guard = Guard(log, "child");
                 inner_started.set();
@@ -53,7 +53,7 @@
             while ended.ended.borrow().len() < 2 {
                 ended.more.take().await;
             }
-            rt.stop();
+            runtime.stop();
         });
         Ok(root)
     })
--- a/src/runtime/timers.rs
+++ b/src/runtime/timers.rs
@@ -83,7 +83,7 @@
     /// Waits for `seconds`.
     pub fn sleep(&self, seconds: f64) -> Sleep {
         Sleep {
-            rt: self.clone(),
+            runtime: self.clone(),
             at: self.now() + seconds.max(0.0),
             key: None,
         }
@@ -105,7 +105,7 @@
 
 /// A wait for a time; dropping it removes the timer.
 pub struct Sleep {
-    rt: Runtime,
+    runtime: Runtime,
     at: Time,
     key: Option<TimerKey>,
 }
@@ -113,11 +113,11 @@
 impl Future for Sleep {
     type Output = ();
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        if self.rt.now() >= self.at {
+        if self.runtime.now() >= self.at {
             return Poll::Ready(());
         }
-        let rt = self.rt.clone();
-        let mut timers = rt.0.timers.borrow_mut();
+        let runtime = self.runtime.clone();
+        let mut timers = runtime.0.timers.borrow_mut();
         let at = self.at;
         let key = *self.key.get_or_insert_with(|| timers.new_key(at));
         timers.waiting.insert(key, cx.waker().clone());
@@ -128,7 +128,7 @@
 impl Drop for Sleep {
     fn drop(&mut self) {
         if let Some(key) = self.key {
-            self.rt.0.timers.borrow_mut().waiting.remove(&key);
+            self.runtime.0.timers.borrow_mut().waiting.remove(&key);
         }
     }
 }
--- a/src/scheduler/arrays.rs
+++ b/src/scheduler/arrays.rs
@@ -19,13 +19,13 @@
         candidates: &mut [CandidateMachine],
     ) -> Placement {
         let job = &self.jobs[&index];
-        let amount = job.amount();
+        let resources = job.task_resources();
         let mut usage = self.team_usage.clone();
         let mut zones = ZoneConstraint::new(&job.spec, self.tasks_by_zone(index));
         let mut queue = self.candidate_queue(job, candidates, |_| true);
         let mut placement = Placement::default();
-        for _ in 0..job.pending() {
-            if !self.is_within_quota(&usage, job.team, amount) {
+        for _ in 0..job.pending_tasks() {
+            if !self.is_within_quota(&usage, job.team, resources) {
                 return placement;
             }
             let Some(selection) = queue.pop(|at| zones.allows(&candidates[at].zone)) else {
@@ -39,7 +39,7 @@
             let candidate = &mut candidates[selection.candidate];
             candidate.load = selection.load_after;
             zones.add(&candidate.zone);
-            usage.add(job.team, amount);
+            usage.add(job.team, resources);
             placement.assignments.push(Assignment {
                 machine: candidate.machine,
                 price_after: candidate.load.price,
@@ -58,13 +58,13 @@
         candidates: &mut [CandidateMachine],
     ) {
         let spec = &job.spec;
-        let amount = job.amount();
+        let resources = job.task_resources();
         let mut left = waiting_tasks;
         for candidate in candidates.iter_mut() {
             if left == 0 {
                 return;
             }
-            let share = amount.largest_share(candidate.load.capacity);
+            let share = resources.largest_share(candidate.load.capacity);
             if !candidate.reserved
                 && share <= GAP_TASK_SHARE_MAX
                 && is_type_allowed(spec, &self.catalog[candidate.type_index])
--- a/src/scheduler/candidate_queue.rs
+++ b/src/scheduler/candidate_queue.rs
@@ -116,7 +116,7 @@
     }
 
     /// Notes that a machine with room was left out, as its image would come too late there.
-    pub fn note_omission(&mut self) {
+    pub fn record_omission(&mut self) {
         self.has_omissions = true;
     }
 
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -21,7 +21,7 @@
     pub(super) type_index: usize,
     pub(super) role: MachineRole,
     /// Small jobs below this priority may borrow the machine although it is kept for large work.
-    pub(super) borrowable_below: Option<Priority>,
+    pub(super) borrowing_priority_limit: Option<Priority>,
     /// What a CPU costs there.
     pub(super) unit_price: f64,
     /// Reserved against all jobs that come later in this pass.
@@ -55,7 +55,7 @@
     /// shared machine that has room for it.
     fn admits(&self, candidate: &CandidateMachine, priority: Priority) -> bool {
         let is_lent = candidate
-            .borrowable_below
+            .borrowing_priority_limit
             .is_some_and(|below| priority < below);
         self.is_allowed && (self.is_large || candidate.role == MachineRole::Shared || is_lent)
     }
@@ -66,13 +66,13 @@
     /// and a pass over them for each waiting job once took all of the leader's processor share.
     pub(super) fn candidates(
         &self,
-        borrowable_below: impl Fn(usize) -> Option<Priority>,
+        borrowing_priority_limit: impl Fn(usize) -> Option<Priority>,
     ) -> Vec<CandidateMachine> {
         let waiting = self
             .scheduler
             .waiting_jobs
             .iter()
-            .map(|index| self.jobs[index].amount());
+            .map(|index| self.jobs[index].task_resources());
         let smallest = waiting.reduce(Resources::component_min).unwrap_or_default();
         let mut candidates: Vec<CandidateMachine> = self
             .fleet
@@ -84,7 +84,7 @@
             })
             .filter_map(|(index, machine)| self.candidate(*index, machine))
             .collect();
-        self.mark_borrowable(&mut candidates, borrowable_below);
+        self.mark_borrowable(&mut candidates, borrowing_priority_limit);
         candidates
     }
 
@@ -97,7 +97,7 @@
             spot: machine.spot,
             type_index,
             role: machine.role,
-            borrowable_below: None,
+            borrowing_priority_limit: None,
             unit_price: self.catalog.unit_price(type_index, machine.spot),
             reserved: false,
             load: MachineLoad {
@@ -112,7 +112,7 @@
     fn mark_borrowable(
         &self,
         candidates: &mut [CandidateMachine],
-        borrowable_below: impl Fn(usize) -> Option<Priority>,
+        borrowing_priority_limit: impl Fn(usize) -> Option<Priority>,
     ) {
         let mut below_by_type: HashMap<usize, Option<Priority>> = HashMap::new();
         for candidate in candidates
@@ -122,9 +122,9 @@
             let type_index = candidate.type_index;
             let below = *below_by_type
                 .entry(type_index)
-                .or_insert_with(|| borrowable_below(type_index));
+                .or_insert_with(|| borrowing_priority_limit(type_index));
             let is_surplus = |machine: &Machine| machine.surplus_since.is_some();
-            candidate.borrowable_below =
+            candidate.borrowing_priority_limit =
                 below.filter(|_| !is_surplus(&self.fleet.machines[&candidate.machine]));
         }
     }
@@ -138,7 +138,7 @@
         is_eligible: impl Fn(&CandidateMachine) -> bool,
     ) -> CandidateQueue {
         let spec = &job.spec;
-        let amount = job.amount();
+        let resources = job.task_resources();
         let weight = self.config.tunables.weights[priority_rank(spec.priority)];
         let types = self.type_suitabilities(job);
         let is_allowed = |candidate: &CandidateMachine| {
@@ -148,23 +148,24 @@
                 && is_eligible(candidate)
         };
         // Machines where the job's tasks failed are left out if there are others.
-        let is_healthy = |candidate: &CandidateMachine| !job.failed_on.contains(&candidate.machine);
-        let any_healthy = job.failed_on.is_empty()
+        let is_healthy =
+            |candidate: &CandidateMachine| !job.failed_machines.contains(&candidate.machine);
+        let any_healthy = job.failed_machines.is_empty()
             || candidates
                 .iter()
                 .any(|candidate| is_allowed(candidate) && is_healthy(candidate));
         let policy = self.image_wait_policy(job);
         let avoids_spot = job.is_chain_step_with_deadline();
-        let mut queue = CandidateQueue::new(self.scheduler.rule, amount, weight);
+        let mut queue = CandidateQueue::new(self.scheduler.rule, resources, weight);
         for (at, candidate) in candidates.iter().enumerate() {
-            if !amount.fits(candidate.load.free())
+            if !resources.fits(candidate.load.free())
                 || !is_allowed(candidate)
                 || (any_healthy && !is_healthy(candidate))
             {
                 continue;
             }
             let Some(distance) = self.image_distance(candidate, spec, policy) else {
-                queue.note_omission();
+                queue.record_omission();
                 continue;
             };
             let tier = CandidateTier {
@@ -187,14 +188,14 @@
 
     /// What each machine type of the catalog is to a job.
     fn type_suitabilities(&self, job: &Job) -> Vec<TypeSuitability> {
-        let amount = job.amount();
+        let resources = job.task_resources();
         (0..self.catalog.len())
             .map(|type_index| TypeSuitability {
                 is_allowed: is_type_allowed(&job.spec, &self.catalog[type_index]),
                 is_large: self
                     .scheduler
                     .rule
-                    .is_large(amount, self.catalog.capacity(type_index)),
+                    .is_large(resources, self.catalog.capacity(type_index)),
             })
             .collect()
     }
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -32,7 +32,7 @@
         if job.assigned_tasks > 0 || job.live_attempts > 0 {
             return Placement::default();
         }
-        let demand = job.amount().times(f64::from(job.spec.tasks));
+        let demand = job.task_resources().times(f64::from(job.spec.tasks));
         if !self.is_within_quota(self.team_usage, job.team, demand) {
             return Placement::default();
         }
@@ -102,12 +102,12 @@
         } else {
             None
         };
-        let amount = job.amount();
+        let resources = job.task_resources();
         for candidate in candidates.iter_mut() {
             candidate.reserved = zone.as_ref().is_none_or(|z| *z == candidate.zone)
                 && self.suits_gang(job, candidate.type_index, candidate.role)
                 && candidate.is_allowed_by(&job.spec)
-                && amount.fits(candidate.load.free());
+                && resources.fits(candidate.load.free());
         }
         true
     }
@@ -121,7 +121,7 @@
                     && is_offer_allowed(&job.spec, machine.spot, &machine.zone)
             });
             if is_suitable && self.fleet.is_schedulable(machine, self.now) {
-                let tasks = tasks_that_fit(job.amount(), machine.capacity) as usize;
+                let tasks = tasks_that_fit(job.task_resources(), machine.capacity) as usize;
                 *capacity_by_zone.entry(machine.zone.clone()).or_insert(0) += tasks;
             }
         }
@@ -133,7 +133,8 @@
     fn suits_gang(&self, job: &Job, type_index: usize, role: MachineRole) -> bool {
         let capacity = self.catalog.capacity(type_index);
         is_type_allowed(&job.spec, &self.catalog[type_index])
-            && (role == MachineRole::Large || !self.scheduler.rule.is_large(job.amount(), capacity))
+            && (role == MachineRole::Large
+                || !self.scheduler.rule.is_large(job.task_resources(), capacity))
     }
 }
 
--- a/src/scheduler/image_locality.rs
+++ b/src/scheduler/image_locality.rs
@@ -5,7 +5,7 @@
 
 use crate::fleet::Fleet;
 use crate::jobs::Job;
-use crate::jobs::objectives::strictest_start_s;
+use crate::jobs::objectives::strictest_start_target_s;
 use crate::protocol::users::Submission;
 use crate::runtime::Time;
 use crate::scheduler::candidates::CandidateMachine;
@@ -128,7 +128,7 @@
             negligible_s: self
                 .autoscaler
                 .expected_run_s(job)
-                .min(strictest_start_s(self.config, spec))
+                .min(strictest_start_target_s(self.config, spec))
                 * NEGLIGIBLE_FETCH_RATIO,
             waited_s: self.now - job.ready_at,
             prevalence: self.scheduler.image_prevalence.share(&spec.image),
--- a/src/scheduler/order.rs
+++ b/src/scheduler/order.rs
@@ -54,7 +54,7 @@
                 exceeds_guarantee: !within_guarantee.contains(&index),
                 delayed_start_ms: ((self.latest_start(job) + self.size_delay_s(job, fleet_cpus))
                     * 1000.0) as i64,
-                acceptance_order: job.order,
+                acceptance_order: job.acceptance_order,
                 index,
             })
             .collect();
@@ -72,15 +72,15 @@
         let mut unfinished: Vec<(&JobIndex, &Job)> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.ended.is_none() && !job.is_blocked)
+            .filter(|(_, job)| job.end.is_none() && !job.is_blocked)
             .collect();
-        unfinished.sort_by_key(|(_, job)| job.order);
+        unfinished.sort_by_key(|(_, job)| job.acceptance_order);
         // What the jobs of each team up to this one may use of its guarantee.
         let mut claimed_by_team: HashMap<usize, Resources> = HashMap::new();
         for (index, job) in unfinished {
-            let tasks_left = f64::from(job.spec.tasks - job.done);
+            let tasks_left = f64::from(job.spec.tasks - job.done_tasks);
             let claimed = claimed_by_team.entry(job.team).or_default();
-            *claimed = claimed.plus(job.amount().times(tasks_left));
+            *claimed = claimed.plus(job.task_resources().times(tasks_left));
             if is_covered(job, *claimed, &teams[job.team]) {
                 within_guarantee.insert(*index);
             }
@@ -126,7 +126,7 @@
         if job.is_gang() {
             return 0.0;
         }
-        let cpu_seconds_left = f64::from(job.spec.tasks - job.done)
+        let cpu_seconds_left = f64::from(job.spec.tasks - job.done_tasks)
             * job.spec.cpus
             * self.autoscaler.expected_run_s(job);
         (cpu_seconds_left / fleet_cpus.max(1.0) * SIZE_DELAY_RATIO)
--- a/src/scheduler/pass.rs
+++ b/src/scheduler/pass.rs
@@ -8,7 +8,7 @@
 use crate::fleet::machine_catalog::MachineCatalog;
 use crate::jobs::job_table::JobTable;
 use crate::jobs::team_usage::TeamUsage;
-use crate::jobs::{JobIndex, MachineIndex, amount};
+use crate::jobs::{JobIndex, MachineIndex, task_resources};
 use crate::protocol::users::{Priority, Submission};
 use crate::resources::Resources;
 use crate::runtime::Time;
@@ -76,7 +76,7 @@
         let same_image_matters = self.shortfall == Shortfall::ImageTooFar;
         tasks_at_once >= self.tasks_at_once
             && (!same_image_matters || failed.image == spec.image)
-            && amount(failed).fits(amount(spec))
+            && task_resources(failed).fits(task_resources(spec))
             && failed.priority == spec.priority
             && failed.spot == spec.spot
             && failed.one_zone == spec.one_zone
@@ -95,14 +95,14 @@
 }
 
 impl SchedulingPass {
-    /// A pass over the machines as they are now. `borrowable_below` says below which priority jobs may borrow machines
-    /// of a type that are kept for large work, if any may.
+    /// A pass over the machines as they are now. `borrowing_priority_limit` says below which priority jobs may borrow
+    /// machines of a type that are kept for large work, if any may.
     pub(crate) fn new(
         view: &SchedulingView<'_>,
-        borrowable_below: impl Fn(usize) -> Option<Priority>,
+        borrowing_priority_limit: impl Fn(usize) -> Option<Priority>,
     ) -> Self {
         SchedulingPass {
-            candidates: view.candidates(borrowable_below),
+            candidates: view.candidates(borrowing_priority_limit),
             failed: Vec::new(),
             gang_has_reservation: false,
         }
@@ -135,7 +135,7 @@
         };
         if let Some(shortfall) = placement.shortfall {
             if !job.is_gang() {
-                let left = job.pending() - placement.assignments.len() as u32;
+                let left = job.pending_tasks() - placement.assignments.len() as u32;
                 view.reserve_gaps(job, left, &mut self.candidates);
             }
             if !self.gang_has_reservation && view.is_gathering_machines(job) {
--- a/src/scheduler/pricing/tests.rs
+++ b/src/scheduler/pricing/tests.rs
@@ -22,14 +22,14 @@
 }
 
 fn machine(cpus: f64, used: f64, price: f64) -> MachineLoad {
-    let amount = |cpus| Resources {
+    let resources = |cpus| Resources {
         cpus,
         gpus: 0.0,
         memory_gb: cpus * 4.0,
     };
     MachineLoad {
-        capacity: amount(cpus),
-        used: amount(used),
+        capacity: resources(cpus),
+        used: resources(used),
         price,
     }
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -48,7 +48,7 @@
 
 /// Client of the state service. It stays within this node's share of the service's request limit.
 pub struct StoreClient {
-    rt: Runtime,
+    runtime: Runtime,
     client: Client,
     /// Watches have connections of their own, as they block.
     watch_client: Client,
@@ -59,7 +59,7 @@
 /// The part of the service's request limit that all controllers together use.
 const REQUEST_LIMIT_SHARE: f64 = 0.9;
 /// Time limit of an ordinary call, as a ratio to the life of the leader's lease.
-const CALL_TIMEOUT_LEADER_LIVES: f64 = 0.25;
+const CALL_TIMEOUT_LEADER_LEASES: f64 = 0.25;
 /// How long the answer to a watch may take beyond the watch's own time.
 const WATCH_GRACE_S: f64 = 2.0;
 /// The part of the memory limit that one answer's body may take.
@@ -71,16 +71,16 @@
 
 impl StoreClient {
     /// A client of the service at an address.
-    pub fn new(rt: &Runtime, address: SocketAddr, config: &Config) -> Self {
+    pub fn new(runtime: &Runtime, address: SocketAddr, config: &Config) -> Self {
         let deployment = &config.deployment;
         let body_max = (deployment.limits.ram_mb * 1024.0 * 1024.0 * BODY_MEMORY_SHARE) as usize;
         let rate = deployment.state.rps * REQUEST_LIMIT_SHARE / deployment.nodes as f64;
         StoreClient {
-            rt: rt.clone(),
-            client: Client::new(rt, address, body_max),
-            watch_client: Client::new(rt, address, body_max),
+            runtime: runtime.clone(),
+            client: Client::new(runtime, address, body_max),
+            watch_client: Client::new(runtime, address, body_max),
             requests: TokenBucket::new(rate, rate),
-            call_timeout_s: config.leader_lease_s() * CALL_TIMEOUT_LEADER_LIVES,
+            call_timeout_s: config.leader_lease_s() * CALL_TIMEOUT_LEADER_LEASES,
         }
     }
 
@@ -97,9 +97,9 @@
     }
 
     async fn wait_for_request_token(&self) {
-        let wait = self.requests.acquire(1.0, self.rt.now());
+        let wait = self.requests.acquire(1.0, self.runtime.now());
         if wait > 0.0 {
-            self.rt.sleep(wait).await;
+            self.runtime.sleep(wait).await;
         }
     }
 
--- a/src/store/replica/job.rs
+++ b/src/store/replica/job.rs
@@ -97,7 +97,7 @@
     }
 
     /// Whether its final state is known.
-    pub fn is_over(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.end.is_some() || self.dependency_cancelled
     }
 
--- a/src/test_support.rs
+++ b/src/test_support.rs
@@ -131,7 +131,7 @@
         let fencing_token = self.put(keys::leader(), &record);
         let config = Rc::new(config);
         let forecast = Rc::new(RefCell::new(ArrivalForecast::new(3.0, 120.0, now)));
-        Leader::begin(
+        Leader::start_term(
             config,
             fencing_token,
             Rc::new(types()),
@@ -177,7 +177,7 @@
                 agent_epoch: 1,
                 sequence: 0,
                 fencing_token: 0,
-                notice_s: None,
+                preemption_notice_s: None,
                 tasks: Vec::new(),
             },
         }
--- a/src/tests/dependency_graphs.rs
+++ b/src/tests/dependency_graphs.rs
@@ -272,7 +272,7 @@
 fn leader(view: &StateReplica, now: Time) -> Leader {
     let config = Rc::new(crate::config::tests::sample());
     let expected = Rc::new(RefCell::new(ArrivalForecast::new(3.0, 120.0, now)));
-    Leader::begin(config, 1000, Rc::new(types()), view, expected, now)
+    Leader::start_term(config, 1000, Rc::new(types()), view, expected, now)
 }
 
 fn assert_demands(leader: &Leader, jobs: &[Generated]) {
--- a/src/tests/large_fleet.rs
+++ b/src/tests/large_fleet.rs
@@ -41,7 +41,7 @@
 /// One heartbeat interval: all workers send a heartbeat, the leader places and writes within its share of the write
 /// budget.
 fn play_interval(store: &mut FakeStore, leader: &mut Leader, workers: &mut [FakeWorker], now: f64) {
-    leader.note_worker_contact(now);
+    leader.record_worker_contact(now);
     for worker in workers.iter_mut() {
         worker.send_heartbeat(leader, now);
     }
--- a/src/tests/random_faults.rs
+++ b/src/tests/random_faults.rs
@@ -203,7 +203,7 @@
     violations: Vec<String>,
     lease_s: f64,
     cancel_s: f64,
-    life_s: f64,
+    lease_duration_s: f64,
     trusted_s: f64,
 }
 
@@ -240,7 +240,7 @@
             violations: Vec::new(),
             lease_s: config.deployment.workers.lease_s,
             cancel_s: config.deployment.workers.cancel_s,
-            life_s: config.leader_lease_s(),
+            lease_duration_s: config.leader_lease_s(),
             trusted_s: config.trusted_leader_lease_s(),
             config,
         };
--- a/src/tests/random_faults/delivery.rs
+++ b/src/tests/random_faults/delivery.rs
@@ -219,7 +219,7 @@
         if heartbeat.fencing_token > leader.fencing_token {
             return self.reply(at, &heartbeat, None, leader_node);
         }
-        leader.note_worker_contact(now);
+        leader.record_worker_contact(now);
         let mut commands = Vec::new();
         if let Some(given) = leader.on_heartbeat(&heartbeat, HeartbeatOrigin::Periodic, now) {
             commands = given;
--- a/src/tests/random_faults/faults_and_users.rs
+++ b/src/tests/random_faults/faults_and_users.rs
@@ -97,7 +97,7 @@
             w.preempted_at.get_or_insert(now + notice_s);
         }
         for w in self.workers.values_mut() {
-            w.fake.heartbeat.notice_s = w.preempted_at.map(|at| at - now);
+            w.fake.heartbeat.preemption_notice_s = w.preempted_at.map(|at| at - now);
         }
         self.workers
             .retain(|_, w| w.preempted_at.is_none_or(|at| at > now));
--- a/src/tests/random_faults/leaders.rs
+++ b/src/tests/random_faults/leaders.rs
@@ -7,7 +7,7 @@
         if self.now < self.outage_until {
             // After an outage every lease has its full time again.
             if let Some((.., until)) = &mut self.leadership {
-                *until = self.outage_until + self.life_s;
+                *until = self.outage_until + self.lease_duration_s;
             }
             return;
         }
@@ -25,13 +25,14 @@
                 continue;
             }
             let lost = self.fault(0.1);
-            let (now, trusted_s, life_s) = (self.now, self.trusted_s, self.life_s);
+            let (now, trusted_s, lease_duration_s) =
+                (self.now, self.trusted_s, self.lease_duration_s);
             let node = &mut self.nodes[at];
-            node.renew_at = now + life_s / 4.0;
+            node.renew_at = now + lease_duration_s / 4.0;
             match &mut self.leadership {
                 _ if lost => {}
                 Some((_, t, until)) if *t == fencing_token => {
-                    *until = now + life_s;
+                    *until = now + lease_duration_s;
                     node.trusted_until = now + trusted_s;
                 }
                 _ => node.leader = None,
@@ -43,7 +44,7 @@
             let (config, host) = (self.config.clone(), format!("n{at}"));
             let mut leader = self.store.elect_with(config, &host, self.now);
             if self.disabled_guard == DisabledGuard::LeaseExpiry {
-                leader.fleet.off_after_s = self.lease_s * 0.2;
+                leader.fleet.worker_lease_expiry_s = self.lease_s * 0.2;
             }
             for (name, w) in &self.workers {
                 let r = &w.fake.heartbeat;
@@ -51,7 +52,7 @@
                     .fleet
                     .request_contact(name, &r.zone, &r.addr, r.agent_epoch, self.now);
             }
-            self.leadership = Some((at, leader.fencing_token, self.now + self.life_s));
+            self.leadership = Some((at, leader.fencing_token, self.now + self.lease_duration_s));
             self.nodes[at] = Node {
                 trusted_until: self.now + self.trusted_s,
                 leader: Some(leader),
--- a/src/tests/scenarios/direct_commands.rs
+++ b/src/tests/scenarios/direct_commands.rs
@@ -113,7 +113,7 @@
         now += 1.0;
         assert!(now < 20.0);
         assert_eq!(count_starts(&w.send_heartbeat(&mut leader, now)), 0);
-        leader.note_worker_contact(now);
+        leader.record_worker_contact(now);
         leader.maintain_fleet(now);
         gone = returned_machines(&mut leader, now);
     }
--- a/src/tests/scenarios/machines.rs
+++ b/src/tests/scenarios/machines.rs
@@ -64,7 +64,7 @@
             for (i, w) in workers.iter_mut().enumerate() {
                 let now = f64::from(round) * 3.0 + i as f64 * 0.35;
                 w.send_heartbeat(&mut leader, now);
-                leader.note_worker_contact(now);
+                leader.record_worker_contact(now);
             }
             store.schedule_and_write(&mut leader, f64::from(round) * 3.0 + 2.9);
         }
@@ -74,7 +74,7 @@
             if !deaf {
                 for w in &mut workers[1..] {
                     w.send_heartbeat(&mut leader, now);
-                    leader.note_worker_contact(now);
+                    leader.record_worker_contact(now);
                 }
             }
             leader.maintain_fleet(now);
@@ -121,7 +121,7 @@
     let mut gone = Vec::new();
     for now in 102..125 {
         w.send_heartbeat(&mut leader, f64::from(now));
-        leader.note_worker_contact(f64::from(now));
+        leader.record_worker_contact(f64::from(now));
         leader.maintain_fleet(f64::from(now));
         gone.extend(returned_machines(&mut leader, f64::from(now)));
     }
@@ -163,7 +163,7 @@
         for w in &mut others {
             w.send_heartbeat(&mut leader, now);
         }
-        leader.note_worker_contact(now);
+        leader.record_worker_contact(now);
         store.schedule_and_write(&mut leader, now);
         leader.maintain_fleet(now);
         let m = &leader.fleet.machines[&leader.fleet.find("i-9").unwrap()];
@@ -289,12 +289,12 @@
         }
         if paused {
             let (until, length_s) = (9.5, 8.0);
-            leader.note_pause(ProcessPause { until, length_s });
+            leader.record_pause(ProcessPause { until, length_s });
         }
         for w in &mut ws[3..] {
             w.send_heartbeat(&mut leader, 9.5);
         }
-        leader.note_worker_contact(9.5);
+        leader.record_worker_contact(9.5);
         leader.maintain_fleet(9.5);
         assert_eq!(returned_machines(&mut leader, 9.5).len(), expected);
     }
@@ -337,7 +337,7 @@
     let mut now = 1.0;
     while now < after + 3.0 {
         ws[0].send_heartbeat(&mut leader, now);
-        leader.note_worker_contact(now);
+        leader.record_worker_contact(now);
         leader.maintain_fleet(now);
         let gone = returned_machines(&mut leader, now);
         let expected = if now > after { 4 } else { 0 };
--- a/src/tests/scenarios/placement_order.rs
+++ b/src/tests/scenarios/placement_order.rs
@@ -62,7 +62,10 @@
         w.send_heartbeat(&mut leader, now);
     }
     // The preempted tasks are not lost: they are pending.
-    assert_eq!(leader.jobs[&leader.job_index("j-1").unwrap()].pending(), 4);
+    assert_eq!(
+        leader.jobs[&leader.job_index("j-1").unwrap()].pending_tasks(),
+        4
+    );
 }
 
 #[test]
@@ -275,7 +278,7 @@
     // not wait for long.
     enter(&mut store, &mut leader, with_image("j-4", 3, "img-b"), 13.0);
     leader.maintain_fleet(13.0);
-    let waits = |leader: &Leader| leader.jobs[&leader.job_index("j-4").unwrap()].pending();
+    let waits = |leader: &Leader| leader.jobs[&leader.job_index("j-4").unwrap()].pending_tasks();
     assert!(waits(&leader) <= 2);
     run(&mut leader, &mut ws, 22.0);
     leader.maintain_fleet(22.0);
--- a/src/tests/scenarios/scaling.rs
+++ b/src/tests/scenarios/scaling.rs
@@ -158,7 +158,7 @@
         let mut stops = Vec::new();
         for step in 0..300 {
             let now = 2.0 + f64::from(step) * 0.5;
-            leader.note_worker_contact(now);
+            leader.record_worker_contact(now);
             for w in &mut ws {
                 if step == 2 {
                     // All but one have ended.
--- a/src/tests/scenarios/zones.rs
+++ b/src/tests/scenarios/zones.rs
@@ -36,7 +36,7 @@
                 w.send_heartbeat(&mut leader, now);
             }
         }
-        leader.note_worker_contact(now);
+        leader.record_worker_contact(now);
         leader.maintain_fleet(now);
         while let Some(call) = leader.next_cloud_call(now) {
             let answer = match &call {
@@ -100,7 +100,7 @@
         for w in ws.iter_mut() {
             w.send_heartbeat(leader, now);
         }
-        leader.note_worker_contact(now);
+        leader.record_worker_contact(now);
         leader.maintain_fleet(now);
         store.schedule_and_write(leader, now);
         returned_machines(leader, now);
@@ -202,7 +202,7 @@
     for _ in 0..2 {
         leader.on_relay(&record, 16.0);
         let job = leader.jobs.values().next().unwrap();
-        assert_eq!((job.done, job.assigned_tasks), (1, 26));
+        assert_eq!((job.done_tasks, job.assigned_tasks), (1, 26));
     }
     // The lost task runs elsewhere; a late copy of the relay does not free what the machine got since.
     send_heartbeats_only_from(&mut store, &mut leader, &mut north, 16.0, 18.0);
