--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,8 +1,8 @@
-//! The leader's state machine, for one term of leadership. It does no input or output: events and the present moment go
-//! in, actions come out.
+//! The leader's state machine, for one term of leadership. It does no input or output: callers pass in events and the
+//! current time, and carry out the actions that it returns.
 //!
-//! [`Leader`] composes the subsystems (jobs, fleet, scheduler, autoscaler, state writer). Its methods, in the modules
-//! below, are what needs several of them.
+//! [`Leader`] composes the subsystems (jobs, fleet, scheduler, autoscaler, state writer). The modules below implement the
+//! operations that involve several subsystems.
 
 mod assignment_writes;
 mod attempt_release;
@@ -38,56 +38,58 @@
 use crate::store::replica::StateReplica;
 use state_writer::{StateWriter, WriteUrgency};
 
-/// What the leader should do after a transaction.
+/// What the leader's write loop does next after the outcome of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AfterTransaction {
-    /// Go on with the next write.
+    /// Continue with the next write.
     Continue,
-    /// Wait a little, then send the same again.
+    /// Back off, then ask for the next transaction: the same one or, if it was too large, a smaller one.
     Retry,
-    /// Read this key: an earlier copy of the transaction seems to have been applied.
+    /// Read this key and pass its revision to [`Leader::on_read_back`]: an earlier copy of the transaction seems to have
+    /// been applied.
     ReadBack(String),
-    /// The fencing token is no longer that of the leader.
+    /// Step down: the fencing token is no longer that of the leader.
     LeadershipLost,
 }
 
-/// The state of a term of leadership. It composes the subsystems, each of which owns its own state, and passes each what
-/// its decisions need.
+/// The state of one term of leadership: the subsystems, each of which owns its own state. The leader passes each of them
+/// the state of the others that its decisions need.
 pub struct Leader {
-    /// The settings.
+    /// The settings, which don't change during a term.
     pub config: Rc<Config>,
-    /// The fencing token of this term: every write is conditional on it, every command carries it.
+    /// The fencing token of this term: every write is conditional on it, and every command to a worker carries it.
     pub fencing_token: u64,
     /// When the term began.
     pub term_started_at: Time,
-    /// The machine types on offer.
+    /// The machine types that the cloud offers, with their current prices.
     pub catalog: MachineCatalog,
-    /// Machines, the attempts on them, zones.
+    /// Machines, the attempts on them, and zones.
     pub fleet: Fleet,
     /// Jobs and the state of their tasks.
     pub jobs: JobTable,
-    /// What the tasks of each team use.
+    /// The resources that the tasks of each team use.
     pub(crate) team_usage: TeamUsage,
-    /// Waiting jobs and what decides where their tasks go.
+    /// The jobs with tasks to be placed, and the state that placement uses.
     pub(crate) scheduler: Scheduler,
-    /// Demand, rentals and returns.
+    /// The demand for machines, and the calls to the cloud that rent and return them.
     pub(crate) autoscaler: Autoscaler,
-    /// What is to be written to the state service.
+    /// The pending writes to the state service, and the transaction in flight.
     writer: StateWriter,
-    /// The number of the last attempt.
-    last_attempt: u64,
-    /// The time of day at moment 0, in milliseconds.
+    /// The number of the latest attempt of this term.
+    last_attempt_number: u64,
+    /// The time of day at moment 0 of [`Time`], in milliseconds since 1970. The controller sets it after the term has
+    /// started; while it is None, ends of jobs are stored without their time of day.
     pub unix_ms_at_start: Option<u64>,
 }
 
-/// The leader's share of the state service's write rate; the rest is for users.
+/// The leader's share of the state service's write rate; the rest is for users' requests.
 pub const LEADER_WRITE_SHARE: f64 = 0.5;
-/// The number of an attempt is the fencing token and so many bits of a counter.
-const ATTEMPT_BITS: u32 = 24;
+/// The number of an attempt consists of the fencing token and, in this many low bits, a counter.
+const ATTEMPT_COUNTER_BITS: u32 = 24;
 
 impl Leader {
-    /// Begins a term from what is stored. The replica must have reached the revision of the election, which is the fencing
-    /// token.
+    /// Starts a term from the stored state. The replica must have reached the revision of the election, which is the
+    /// fencing token.
     pub fn start_term(
         config: Rc<Config>,
         fencing_token: u64,
@@ -125,7 +127,7 @@
                 ),
                 now,
             ),
-            last_attempt: fencing_token << ATTEMPT_BITS,
+            last_attempt_number: fencing_token << ATTEMPT_COUNTER_BITS,
             unix_ms_at_start: None,
             config,
         };
@@ -139,72 +141,73 @@
         leader
     }
 
-    /// A worker made contact at this moment.
+    /// Records that a worker made contact at `now`.
     pub fn record_worker_contact(&mut self, now: Time) {
         self.fleet.record_worker_contact(now);
     }
 
-    /// When any worker last made contact.
+    /// When any worker last made contact, or when the term started if none has yet.
     pub fn last_worker_contact(&self) -> Time {
         self.fleet.last_worker_contact()
     }
 
-    /// This process was paused.
+    /// Records the latest pause of this process: missing heartbeats during the pause don't count as silence of the
+    /// workers.
     pub fn record_pause(&mut self, pause: ProcessPause) {
         self.fleet.record_pause(pause);
     }
 
-    /// The index of the job with this id.
+    /// The index of the job with this id. None if the job is unknown, for example because its records are deleted.
     pub fn job_index(&self, id: &str) -> Option<JobIndex> {
         self.jobs.index_of(id)
     }
 
-    /// Something changed that may let a waiting job be placed.
+    /// Requests a scheduling pass, as something changed that may allow a waiting job to be placed.
     pub(crate) fn request_placement(&mut self) {
         self.scheduler.placement_requested = true;
     }
 
-    /// Whether a scheduling pass was requested since this was last asked.
+    /// Clears the request for a scheduling pass; returns whether there was one.
     pub(crate) fn take_placement_request(&mut self) -> bool {
         std::mem::take(&mut self.scheduler.placement_requested)
     }
 
-    /// Tasks of a job wait to be placed.
+    /// Adds a job to those with tasks to be placed.
     pub(crate) fn enqueue(&mut self, index: JobIndex) {
         self.scheduler.waiting_jobs.insert(index);
     }
 
-    /// No task of a job waits to be placed any more.
+    /// Removes a job from those with tasks to be placed.
     pub(crate) fn dequeue(&mut self, index: JobIndex) {
         self.scheduler.waiting_jobs.remove(&index);
     }
 
-    /// The time of day of a moment, if it is known.
+    /// Converts a moment to the time of day, in milliseconds since 1970. None if [`Leader::unix_ms_at_start`] isn't set.
     fn unix_ms(&self, now: Time) -> Option<u64> {
         self.unix_ms_at_start
-            .map(|zero| zero + (now * 1000.0) as u64)
+            .map(|start_ms| start_ms + (now * 1000.0) as u64)
     }
 
-    /// The team of a job uses the resources of one more of its tasks.
+    /// Adds the resources of one task of a job to the usage of the job's team.
     pub(crate) fn charge_team(&mut self, index: JobIndex) {
         let job = &self.jobs[&index];
         self.team_usage.add(job.team, job.task_resources());
     }
 
-    /// The team of a job uses the resources of one less of its tasks.
+    /// Subtracts the resources of one task of a job from the usage of the job's team.
     pub(crate) fn release_team(&mut self, index: JobIndex) {
         let job = &self.jobs[&index];
         self.team_usage.subtract(job.team, job.task_resources());
     }
 
-    /// A new number for an attempt, used by no term before: a term counts from its fencing token, and never uses up the numbers
-    /// between two revisions of the store.
+    /// Returns a new attempt number. No other term uses it: each term counts from its own fencing token, a revision of the
+    /// store, and doesn't exhaust the numbers up to those of the next revision.
     pub(crate) fn next_attempt_number(&mut self) -> u64 {
-        self.last_attempt += 1;
-        self.last_attempt
+        self.last_attempt_number += 1;
+        self.last_attempt_number
     }
 
-    /// Assigns a task to a machine; it is launched once the assignment is stored.
+    /// Assigns a task to a machine. The task is launched once the assignment is stored.
     pub(crate) fn assign(
         &mut self,
         index: JobIndex,
--- a/src/leader/attempt_release.rs
+++ b/src/leader/attempt_release.rs
@@ -1,4 +1,4 @@
-//! Attempts that are surely off their machine: released, so that their tasks can be placed again.
+//! Release of attempts that are certain to be off their machine, so that their tasks can be placed again.
 
 use super::Leader;
 use crate::fleet::AttemptKey;
@@ -7,14 +7,15 @@
 use crate::runtime::Time;
 
 impl Leader {
-    /// Releases the attempts that are surely off their machine as its worker's lease has expired.
+    /// Releases the attempts that no worker can be running any more because the worker's lease has expired, and attempts on
+    /// silent or unresponsive machines that were never launched.
     pub(crate) fn expire_leases(&mut self, now: Time) {
         for (index, key) in self.fleet.expired_attempts(now) {
             self.release_attempt(index, key, now);
         }
     }
 
-    /// Removes a machine that is gone, with all that was on it.
+    /// Releases all attempts on a machine that no longer exists, and removes the machine.
     pub(crate) fn remove_machine(&mut self, index: MachineIndex, now: Time) {
         let keys: Vec<AttemptKey> = match self.fleet.machines.get(&index) {
             Some(machine) => machine.attempts.keys().copied().collect(),
@@ -27,7 +28,8 @@
         self.request_placement();
     }
 
-    /// Releases an attempt that is surely off a machine.
+    /// Releases an attempt that is certain to be off its machine: frees its resources and, if the task is still assigned to
+    /// that machine as this attempt, makes the task pending again.
     pub(crate) fn release_attempt(&mut self, index: MachineIndex, key: AttemptKey, now: Time) {
         let Some(task_attempt) = self
             .fleet
@@ -49,7 +51,7 @@
         if self.jobs[&key.job].is_gang() {
             self.attribute_gang_failure(key.job);
         }
-        if self.is_bound(index, key) {
+        if self.is_current_assignment(index, key) {
             if let Some(job) = self.jobs.get_mut(&key.job) {
                 job.release(key.task);
             }
@@ -60,14 +62,14 @@
         self.mark_if_finished(key.job);
     }
 
-    /// Whether a task is assigned to a machine as this attempt.
-    pub(super) fn is_bound(&self, index: MachineIndex, key: AttemptKey) -> bool {
+    /// Returns whether a task is currently assigned to this machine as this attempt.
+    pub(super) fn is_current_assignment(&self, index: MachineIndex, key: AttemptKey) -> bool {
         matches!(self.jobs[&key.job].task(key.task),
             Task::Assigned { machine, attempt, .. } if machine == index && attempt == key.attempt)
     }
 
-    /// A task came off a machine before it had its image: if no other attempt there uses the image, its fetch
-    /// is cancelled.
+    /// Cancels the fetch of a job's image in the machine's cache, unless another attempt on the machine uses the image. For
+    /// a task that was released before the fetch was complete: the worker cancels the fetch as well.
     fn cancel_image_fetch(&mut self, index: MachineIndex, job: JobIndex) {
         let image = &self.jobs[&job].spec.image;
         if let Some(machine) = self.fleet.machines.get_mut(&index)
--- a/src/leader/deadline_propagation.rs
+++ b/src/leader/deadline_propagation.rs
@@ -1,4 +1,4 @@
-//! Priority and deadline of the last jobs of a chain, propagated to those that they depend on.
+//! Propagation of priorities and deadlines along chains, from jobs to those that they depend on.
 
 use super::Leader;
 use crate::jobs::dependency_graph;
@@ -8,25 +8,31 @@
 use std::rc::Rc;
 
 impl Leader {
-    /// Propagates priority and deadline of unfinished jobs to all that they depend on, directly or indirectly: a dependency has
-    /// at least their priority, and is due by their deadline less their own run time.
-    pub(super) fn propagate_requirements(&mut self, from: impl IntoIterator<Item = JobIndex>) {
-        let open = |leader: &Leader, index: &JobIndex| leader.jobs[index].end.is_none();
-        let from: Vec<JobIndex> = from.into_iter().filter(|index| open(self, index)).collect();
+    /// Propagates the priority and deadline of these jobs, except those that have ended, to all jobs that they depend on,
+    /// directly or indirectly: a dependency gets at least the priority of its dependent, and must be done by the dependent's
+    /// deadline less the dependent's expected run time.
+    pub(super) fn propagate_requirements(&mut self, jobs: impl IntoIterator<Item = JobIndex>) {
+        let not_ended: Vec<JobIndex> = jobs
+            .into_iter()
+            .filter(|index| self.jobs[index].end.is_none())
+            .collect();
         let leader: RefCell<&mut Leader> = RefCell::new(self);
         let dependencies = |index: JobIndex| -> Vec<JobIndex> {
             let leader = leader.borrow();
             let ids = leader.jobs[&index].spec.waits_on.iter();
             ids.filter_map(|id| leader.job_index(id)).collect()
         };
-        let raise = |dependency: JobIndex, dependent: JobIndex| -> bool {
+        let raise_requirements = |dependency: JobIndex, dependent: JobIndex| -> bool {
             let mut leader = leader.borrow_mut();
             let job = &leader.jobs[&dependent];
             let (priority, required_by) = (
                 job.spec.priority,
-                leader.done_by(job) - leader.autoscaler.expected_run_s(job),
+                leader.effective_deadline(job) - leader.autoscaler.expected_run_s(job),
             );
-            let Some(dependency) = leader.jobs.get_mut(&dependency).filter(|j| j.end.is_none())
+            let Some(dependency) = leader
+                .jobs
+                .get_mut(&dependency)
+                .filter(|job| job.end.is_none())
             else {
                 return false;
             };
@@ -42,16 +48,20 @@
             is_raised
         };
         dependency_graph::propagate_requirements(
-            from,
+            not_ended,
             |index| leader.borrow().jobs[&index].acceptance_order,
             dependencies,
-            raise,
+            raise_requirements,
         );
     }
 
-    /// By when a job must be done, by its own deadline and those of its dependents.
-    pub(super) fn done_by(&self, job: &Job) -> Time {
-        let own_deadline = job.spec.deadline_s.map(|s| job.submitted_at + s);
+    /// The moment by which a job must be done to meet its own deadline and those of its dependents; infinite without
+    /// deadlines.
+    pub(super) fn effective_deadline(&self, job: &Job) -> Time {
+        let own_deadline = job
+            .spec
+            .deadline_s
+            .map(|deadline_s| job.submitted_at + deadline_s);
         own_deadline.unwrap_or(f64::INFINITY).min(job.required_by)
     }
 }
--- a/src/leader/direct_commands.rs
+++ b/src/leader/direct_commands.rs
@@ -1,4 +1,4 @@
-//! Commands to workers: in the answers to their heartbeats, and by direct calls.
+//! Commands to workers, in the answers to their heartbeats and by direct calls.
 
 use super::Leader;
 use crate::fleet::{DirectCommandOutcome, DirectCommands, HeartbeatOrigin};
@@ -8,15 +8,14 @@
 use crate::protocol::workers::{Command, Heartbeat};
 use crate::runtime::Time;
 
-/// Part of the time within which a job is to start that its launch may wait for a heartbeat.
+/// The share of a job's start target for which a launch may wait for the machine's next heartbeat.
 const LAUNCH_WAIT_SHARE: f64 = 0.1;
-/// Commands in one answer at the most, so that its only line stays short.
+/// Maximum number of commands in one message, so that the single line of JSON stays short.
 const COMMANDS_MAX: usize = 400;
 
 impl Leader {
-    /// Adds to the answer of a worker's periodic heartbeat what it is to do now. A heartbeat that is no
-    /// longer the newest known gets nothing: its worker may have given up on it. Returns whether it
-    /// was the newest.
+    /// Adds the stops and launches that are due to the answer to a worker's periodic heartbeat, unless a newer heartbeat of
+    /// the worker has arrived: the worker may no longer wait for this answer. Returns whether the heartbeat is the newest.
     pub fn append_reply_commands(
         &mut self,
         heartbeat: &Heartbeat,
@@ -26,14 +25,14 @@
             return false;
         };
         let machine = self.fleet.machines.get(&index);
-        let newest = machine.is_some_and(|machine| machine.is_latest_heartbeat(heartbeat));
-        if newest {
+        let is_latest = machine.is_some_and(|machine| machine.is_latest_heartbeat(heartbeat));
+        if is_latest {
             self.append_commands(index, HeartbeatOrigin::Periodic, commands);
         }
-        newest
+        is_latest
     }
 
-    /// Adds the commands that a worker is to have now, to the answer to its heartbeat or to a direct call.
+    /// Adds the stops and launches that are due at a machine to the answer to its worker's heartbeat or to a direct call.
     fn append_commands(
         &mut self,
         index: MachineIndex,
@@ -74,16 +73,16 @@
         }
     }
 
-    /// The direct calls to send now, at most `most`. Unless it is to launch something, a machine is called at most once
-    /// in `gap_s` seconds.
+    /// Returns the direct calls to send now, at most `calls_max`. A worker is called at most once in `call_interval_s`
+    /// seconds, except for launches.
     pub fn take_direct_commands(
         &mut self,
         now: Time,
-        gap_s: f64,
-        most: usize,
+        call_interval_s: f64,
+        calls_max: usize,
     ) -> Vec<DirectCommands> {
         let mut calls = Vec::new();
-        for target in self.fleet.due_direct_calls(gap_s, most, now) {
+        for target in self.fleet.due_direct_calls(call_interval_s, calls_max, now) {
             let mut commands = Vec::new();
             self.append_commands(target.machine, HeartbeatOrigin::DirectReply, &mut commands);
             self.fleet.on_direct_call_sent(target.machine, now);
@@ -97,17 +96,17 @@
         calls
     }
 
-    /// A direct call has ended.
+    /// Handles the outcome of a direct call.
     pub fn on_direct_outcome(
         &mut self,
-        machine: MachineIndex,
+        machine_index: MachineIndex,
         outcome: DirectCommandOutcome,
         now: Time,
     ) {
-        let Some(called) = self.fleet.machines.get_mut(&machine) else {
+        let Some(machine) = self.fleet.machines.get_mut(&machine_index) else {
             return;
         };
-        let unsent = called.on_direct_call_ended(&outcome);
+        let unsent = machine.on_direct_call_ended(&outcome);
         match outcome {
             DirectCommandOutcome::Done(heartbeat) | DirectCommandOutcome::Refused(heartbeat) => {
                 if heartbeat.fencing_token <= self.fencing_token {
@@ -116,18 +115,19 @@
                 }
             }
             DirectCommandOutcome::NotSent if !unsent.is_empty() => {
-                // The worker can't be reached: what it was to do goes elsewhere, until its next heartbeat.
-                called.backoff_until = now + self.config.deployment.workers.heartbeat_interval_s;
+                // The worker can't be reached. The tasks that it was to launch are placed on other machines, and its machine
+                // gets no tasks for a heartbeat interval.
+                machine.backoff_until = now + self.config.deployment.workers.heartbeat_interval_s;
                 for key in unsent {
-                    self.release_attempt(machine, key, now);
+                    self.release_attempt(machine_index, key, now);
                 }
             }
             DirectCommandOutcome::NotSent | DirectCommandOutcome::Unknown => {}
         }
     }
 
-    /// The assignment of a task is stored, so its launch may be sent: by a direct call, if waiting for the machine's next
-    /// heartbeat would take a good part of the time within which its job is to start.
+    /// Requests the launch of a task whose assignment is stored, by a direct call if the machine's next heartbeat is further
+    /// away than the share [`LAUNCH_WAIT_SHARE`] of the job's start target.
     pub(crate) fn on_assignment_stored(&mut self, index: JobIndex, task: u32, now: Time) {
         let Some(job) = self.jobs.get(&index) else {
             return;
@@ -135,16 +135,17 @@
         let Task::Assigned { machine, .. } = job.task(task) else {
             return;
         };
-        let mut start_s = strictest_start_target_s(&self.config, &job.spec);
+        let mut start_target_s = strictest_start_target_s(&self.config, &job.spec);
         if job.is_chain_step_with_deadline() {
-            start_s = start_s.min(self.autoscaler.expected_run_s(job));
+            start_target_s = start_target_s.min(self.autoscaler.expected_run_s(job));
         }
-        let wait_limit_s = start_s * LAUNCH_WAIT_SHARE;
+        let wait_limit_s = start_target_s * LAUNCH_WAIT_SHARE;
         self.fleet.request_direct_launch(machine, wait_limit_s, now);
     }
 
-    /// Stops what can save a checkpoint before the cloud preempts the machine.
-    pub(super) fn on_preemption_notice(&mut self, index: MachineIndex, now: Time) {
+    /// Stops the attempts that can save a checkpoint before the cloud preempts their machine, if there is a preemption notice.
+    /// A gang is stopped on all its machines.
+    pub(super) fn stop_before_preemption(&mut self, index: MachineIndex, now: Time) {
         let Some(machine) = self.fleet.machines.get_mut(&index) else {
             return;
         };
@@ -152,7 +153,7 @@
             return;
         };
         let mut gangs = Vec::new();
-        let mut stops = false;
+        let mut has_stops = false;
         for (key, task_attempt) in &mut machine.attempts {
             let spec = &self.jobs[&key.job].spec;
             if task_attempt.completed
@@ -161,7 +162,8 @@
             {
                 continue;
             }
-            // The machine may be taken after half the time of the notice; saving needs its own.
+            // The cloud may take the machine after half of the notice, so attempts are stopped at once, except those that
+            // can't save within the time that is left.
             if preemption_at - now < spec.save_s {
                 continue;
             }
@@ -169,10 +171,10 @@
                 gangs.push(key.job);
             } else {
                 task_attempt.stop_grace_s = Some(spec.save_s);
-                stops = true;
+                has_stops = true;
             }
         }
-        if stops {
+        if has_stops {
             self.fleet.request_direct_call(index);
         }
         for job in gangs {
--- a/src/leader/failure_attribution.rs
+++ b/src/leader/failure_attribution.rs
@@ -1,26 +1,29 @@
-//! Whether a machine or a job is at fault when tasks fail.
+//! Attribution of task failures to the machine or to the job.
 
 use super::Leader;
 use crate::jobs::{JobIndex, MachineIndex};
 use crate::runtime::Time;
 
-/// The shortest and the longest backoff of a job whose tasks fail on several machines, in heartbeat intervals.
+/// The shortest backoff of a job whose tasks fail on several machines, in heartbeat intervals.
 const JOB_BACKOFF_HEARTBEATS_MIN: f64 = 2.0;
+/// The longest such backoff, in heartbeat intervals.
 const JOB_BACKOFF_HEARTBEATS_MAX: f64 = 40.0;
-/// Machines on which a job must fail before the job itself is at fault.
+/// Number of machines on which tasks of a job must fail for the job itself to be at fault.
 const JOB_FAULT_MACHINES: usize = 3;
-/// A machine is quarantined after failures of so many jobs in a row, or so many failures of a single job that fails
-/// nowhere else.
+/// A machine is quarantined after tasks of this many jobs failed on it, with no completed task in between.
 const MACHINE_FAULT_JOBS: usize = 2;
+/// A machine is also quarantined after this many failures in a row, if the job that fails does so on no other machine.
 const MACHINE_FAULT_FAILURES: u32 = 3;
-/// So many tasks of a job that complete, to one that fails, show that the machine is at fault and not the job.
+/// A machine is at fault, and not the job, once this many tasks of an array have completed, or if at most one in this many
+/// tasks of a gang failed.
 const COMPLETED_PER_FAILED: u32 = 3;
-/// Backoff of a machine after each failure in a row, in heartbeat intervals.
+/// Backoff of a machine for each failure in a row, in heartbeat intervals.
 const MACHINE_BACKOFF_HEARTBEATS: f64 = 2.0;
 
 impl Leader {
-    /// A task failed on a machine: decides whether the machine or the job is at fault, and backs off or quarantines it.
-    pub(crate) fn on_task_error(
+    /// Decides whether the machine or the job is at fault for a task that failed. The job backs off; the machine backs off
+    /// or is quarantined.
+    pub(crate) fn attribute_task_failure(
         &mut self,
         index: JobIndex,
         machine_index: MachineIndex,
@@ -30,15 +33,15 @@
         let Some(job) = self.jobs.get_mut(&index) else {
             return;
         };
-        // A faulty job fails everywhere: where others of its tasks complete, it is the machine.
+        // A faulty job fails on all machines. If several of its tasks have completed, the machine is at fault.
         if !job.is_gang() && job.done_tasks >= COMPLETED_PER_FAILED {
             self.quarantine(machine_index);
             return;
         }
         job.failed_machines.insert(machine_index);
         job.failed_machines_in_attempt.insert(machine_index);
-        let failed_on = job.failed_machines.len();
-        if failed_on >= JOB_FAULT_MACHINES {
+        let failed_machine_count = job.failed_machines.len();
+        if failed_machine_count >= JOB_FAULT_MACHINES {
             job.backoff_s = (job.backoff_s * 2.0)
                 .max(heartbeat_interval_s * JOB_BACKOFF_HEARTBEATS_MIN)
                 .min(heartbeat_interval_s * JOB_BACKOFF_HEARTBEATS_MAX);
@@ -54,25 +57,31 @@
             + heartbeat_interval_s
                 * MACHINE_BACKOFF_HEARTBEATS
                 * f64::from(machine.consecutive_failures);
-        // The failures of one job count against a machine only while it fails nowhere else.
-        let at_fault = machine.failed_jobs.len() >= MACHINE_FAULT_JOBS
-            || (failed_on == 1 && machine.consecutive_failures >= MACHINE_FAULT_FAILURES);
-        if at_fault {
+        // The failures of a single job count against a machine only while the job fails on no other machine.
+        let is_machine_at_fault = machine.failed_jobs.len() >= MACHINE_FAULT_JOBS
+            || (failed_machine_count == 1
+                && machine.consecutive_failures >= MACHINE_FAULT_FAILURES);
+        if is_machine_at_fault {
             self.quarantine(machine_index);
         }
     }
 
-    /// All of a gang's attempt is off its machines. If few of its tasks failed and the others only lost their peers, the
-    /// fault is with those machines: each would take down one large gang after the other.
+    /// Attributes the failure of a gang's attempt, once all tasks of the attempt are off their machines. If few of them failed
+    /// and the others only lost their peers, the machines of those few are at fault and are quarantined: otherwise each of
+    /// them makes one large gang after another fail.
     pub(crate) fn attribute_gang_failure(&mut self, index: JobIndex) {
-        let Some(job) = self.jobs.get_mut(&index).filter(|j| j.live_attempts == 0) else {
+        let Some(job) = self
+            .jobs
+            .get_mut(&index)
+            .filter(|job| job.live_attempts == 0)
+        else {
             return;
         };
-        let failed = std::mem::take(&mut job.failed_machines_in_attempt);
-        if failed.len() * COMPLETED_PER_FAILED as usize > job.spec.tasks as usize {
+        let failed_machines = std::mem::take(&mut job.failed_machines_in_attempt);
+        if failed_machines.len() * COMPLETED_PER_FAILED as usize > job.spec.tasks as usize {
             return;
         }
-        for machine_index in failed {
+        for machine_index in failed_machines {
             job.failed_machines.remove(&machine_index);
             if let Some(machine) = self.fleet.machines.get_mut(&machine_index) {
                 machine.quarantine();
--- a/src/leader/job_lifecycle.rs
+++ b/src/leader/job_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a job at its leader: it is accepted, blocked, ready, ended and removed.
+//! The life cycle of a job at the leader: accepted, blocked, ready, ended and finished.
 
 use super::Leader;
 use super::state_writer::WriteUrgency;
@@ -10,14 +10,15 @@
 use std::rc::Rc;
 
 impl Leader {
-    /// Adds a job as it is stored, with what the assignment log holds of its tasks.
+    /// Adds a job from the store, with the state of its tasks from the assignment log. Does nothing if the job is known,
+    /// incomplete or of an unknown team.
     pub fn add_stored_job(&mut self, id: &Rc<str>, stored: &ReplicatedJob, now: Time) {
         if let Some(index) = self.add_job(id, stored, now) {
             self.propagate_requirements([index]);
         }
     }
 
-    /// Adds a job without propagating its requirements; None if it is known, incomplete or of an unknown team.
+    /// Adds a job without propagating its requirements. None if the job is known, incomplete or of an unknown team.
     pub(super) fn add_job(
         &mut self,
         id: &Rc<str>,
@@ -29,8 +30,8 @@
             return None;
         }
         let teams = &self.config.deployment.teams;
-        let Some(team) = teams.iter().position(|t| t.name == spec.team) else {
-            tracing::error!(job = %id, team = %spec.team, "team is not in the settings");
+        let Some(team) = teams.iter().position(|team| team.name == spec.team) else {
+            tracing::error!(job = %id, team = %spec.team, "ignoring a job whose team is not in the settings");
             return None;
         };
         let mut job = Job::new(
@@ -43,16 +44,16 @@
         job.ready_at = stored.ready_at.unwrap_or(job.submitted_at);
         job.is_blocked = stored.is_blocked;
         job.dependency_parts = stored.dependency_parts;
-        job.end = stored.end.map(|e| e.end);
+        job.end = stored.end.map(|record| record.end);
         job.end_stored = stored.end.is_some();
         let ended = job.end.is_some();
         let index = self.jobs.insert(job);
         self.inherit_tasks(index, stored, now);
         let job = &self.jobs[&index];
         if !ended && job.done_tasks == job.spec.tasks {
-            self.finish(index, JobEnd::Done);
+            self.end_job(index, JobEnd::Done);
         } else if !ended && stored.dependency_cancelled {
-            self.finish(index, JobEnd::Cancelled);
+            self.end_job(index, JobEnd::Cancelled);
         }
         self.enqueue_if_pending(index);
         self.mark_if_finished(index);
@@ -63,25 +64,24 @@
         Some(index)
     }
 
-    /// Takes over the state of a job's tasks from the assignment log.
+    /// Takes over the state of a job's tasks from the valid records of the assignment log.
     fn inherit_tasks(&mut self, index: JobIndex, stored: &ReplicatedJob, now: Time) {
         for (task, recorded) in &stored.tasks {
-            let (number, mark) = (&recorded.record_number, &recorded.state);
+            let (number, state) = (&recorded.record_number, &recorded.state);
             if !self.writer.log.is_valid(*number) {
                 continue;
             }
-            match mark {
+            match state {
                 RecordedTask::Released => continue,
                 RecordedTask::Done => {
                     if let Some(job) = self.jobs.get_mut(&index) {
                         job.complete(*task, Some(*number));
                     }
                 }
-                RecordedTask::Assigned {
-                    location: place,
-                    attempt,
-                } => {
-                    let machine_index = self.fleet.get_or_insert(&place.machine, &place.zone, now);
+                RecordedTask::Assigned { location, attempt } => {
+                    let machine_index =
+                        self.fleet
+                            .get_or_insert(&location.machine, &location.zone, now);
                     let key = AttemptKey {
                         job: index,
                         task: *task,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// A task may be on a machine, as the assignment record with this number says.
+    /// Adds an attempt of an earlier term that may be on a machine, as the assignment record with this number says.
     fn inherit_assignment(
         &mut self,
         machine_index: MachineIndex,
@@ -116,13 +116,13 @@
         self.on_attempt_added(key.job);
     }
 
-    /// All dependencies of a job are stored as done. Only that unblocks it: this leader's own count is not enough, as a
-    /// cancellation may have been stored first.
+    /// Unblocks a job, as the ends of all its dependencies are stored as done. Ends that this leader has yet to store don't
+    /// unblock a job, as the cancellation of a dependency may be stored before them.
     pub fn on_ready(&mut self, id: &str, now: Time) {
         let Some(index) = self.job_index(id) else {
             return;
         };
-        let Some(job) = self.jobs.get_mut(&index).filter(|j| j.is_blocked) else {
+        let Some(job) = self.jobs.get_mut(&index).filter(|job| job.is_blocked) else {
             return;
         };
         job.is_blocked = false;
@@ -132,19 +132,20 @@
         self.request_placement();
     }
 
-    /// A dependency of a job, direct or indirect, is cancelled: the job ends as well, and its end is stored within the write
-    /// budget.
+    /// Ends a job as cancelled, as one of its direct or indirect dependencies is cancelled. The end is stored within the
+    /// leader's write budget.
     pub fn on_dependency_cancelled(&mut self, id: &str) {
-        let open = |index: &JobIndex| self.jobs.get(index).is_some_and(|j| j.end.is_none());
-        if let Some(index) = self.job_index(id).filter(open) {
+        let has_not_ended =
+            |index: &JobIndex| self.jobs.get(index).is_some_and(|job| job.end.is_none());
+        if let Some(index) = self.job_index(id).filter(has_not_ended) {
             if let Some(job) = self.jobs.get_mut(&index) {
                 job.is_blocked = false;
             }
-            self.finish(index, JobEnd::Cancelled);
+            self.end_job(index, JobEnd::Cancelled);
         }
     }
 
-    /// A job's end was stored, by any controller.
+    /// Handles a job's end that any controller has stored.
     pub fn on_end(&mut self, id: &str, end: &EndRecord, now: Time) {
         let Some(index) = self.job_index(id) else {
             return;
@@ -153,7 +154,7 @@
             job.end = Some(end.end);
             job.end_stored = true;
         }
-        self.writer.end_is_stored(index);
+        self.writer.on_end_stored(index);
         self.dequeue(index);
         if end.end == JobEnd::Cancelled {
             self.stop_job(index, 0.0, now);
@@ -161,9 +162,10 @@
         self.mark_if_finished(index);
     }
 
-    /// Stops all attempts of a job.
+    /// Stops all attempts of a job, with `grace_s` seconds to save a checkpoint unless an earlier stop allows less. Attempts
+    /// whose launch was never sent are released at once.
     pub(crate) fn stop_job(&mut self, index: JobIndex, grace_s: f64, now: Time) {
-        let mut off = Vec::new();
+        let mut unsent = Vec::new();
         for (machine_index, machine) in &mut self.fleet.machines {
             let first = AttemptKey {
                 job: index,
@@ -180,35 +182,35 @@
                     continue;
                 }
                 if task_attempt.is_unsent() {
-                    off.push((*machine_index, *key));
+                    unsent.push((*machine_index, *key));
                     continue;
                 }
                 task_attempt.stop_grace_s = Some(
                     task_attempt
                         .stop_grace_s
-                        .map_or(grace_s, |g| g.min(grace_s)),
+                        .map_or(grace_s, |earlier_s| earlier_s.min(grace_s)),
                 );
                 machine.direct_call_requested = true;
                 self.fleet.direct_call_queue.insert(*machine_index);
             }
         }
-        for (machine_index, key) in off {
+        for (machine_index, key) in unsent {
             self.release_attempt(machine_index, key, now);
         }
     }
 
-    /// A task came off its machine without being done.
+    /// Handles the release of a task that didn't complete.
     pub(crate) fn on_task_released(&mut self, index: JobIndex, task: u32, now: Time) {
         let job = &self.jobs[&index];
         if job.is_gang() && job.assigned_tasks > 0 && job.end.is_none() {
-            // The other tasks of the attempt can't go on: it ends now and starts anew as a whole.
+            // The other tasks of the attempt can't continue: all are stopped, and the gang starts again as a whole.
             self.stop_job(index, 0.0, now);
         }
         self.mark_pending_write(index, task, WriteUrgency::Batched, now);
     }
 
-    /// A task completed.
-    pub(crate) fn on_task_done(&mut self, key: AttemptKey, ran: Option<f64>, now: Time) {
+    /// Handles the completion of a task, which ran for `run_s` seconds if that is known.
+    pub(crate) fn on_task_done(&mut self, key: AttemptKey, run_s: Option<f64>, now: Time) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
@@ -216,7 +218,7 @@
             return;
         }
         if job.is_gang() {
-            // A gang completes together.
+            // A gang completes as a whole, as soon as one of its tasks does.
             for task in 0..job.spec.tasks {
                 job.complete(task, None);
             }
@@ -225,29 +227,29 @@
         }
         job.failed_machines.clear();
         job.backoff_s = 0.0;
-        if let Some(ran) = ran {
-            self.record_run_time(key.job, ran);
+        if let Some(run_s) = run_s {
+            self.record_run_time(key.job, run_s);
         }
         let job = &self.jobs[&key.job];
         if job.done_tasks == job.spec.tasks {
-            self.finish(key.job, JobEnd::Done);
+            self.end_job(key.job, JobEnd::Done);
         } else {
-            // A gang is done as a whole: only an array comes here.
+            // Only an array gets here: a gang is done as a whole, and a service's tasks are never done.
             self.mark_pending_write(key.job, key.task, WriteUrgency::Batched, now);
         }
     }
 
-    /// All jobs end as done, and their ends wait to be written.
+    /// Ends all jobs as done and schedules the writes of their ends.
     #[cfg(test)]
     pub(crate) fn end_all(&mut self) {
         let all: Vec<JobIndex> = self.jobs.keys().copied().collect();
         for index in all {
-            self.finish(index, JobEnd::Done);
+            self.end_job(index, JobEnd::Done);
         }
     }
 
-    /// A job ends: nothing of it is placed any more, and its end is to be written.
-    pub(super) fn finish(&mut self, index: JobIndex, end: JobEnd) {
+    /// Ends a job: its tasks are no longer placed, and its end is to be written.
+    pub(super) fn end_job(&mut self, index: JobIndex, end: JobEnd) {
         if let Some(job) = self.jobs.get_mut(&index) {
             job.end = Some(end);
         }
@@ -255,7 +257,8 @@
         self.writer.mark_ended(index);
     }
 
-    /// If a job has ended and is off all machines, what is stored of it but its end is to be deleted.
+    /// Schedules the deletion of a job's records, except the record of its end, if the job is finished: its end is stored and
+    /// none of its attempts is on a machine.
     pub(crate) fn mark_if_finished(&mut self, index: JobIndex) {
         if let Some(job) = self.jobs.get(&index)
             && job.end_stored
@@ -265,7 +268,7 @@
         }
     }
 
-    /// Lets the scheduler place a job, if tasks of it are pending.
+    /// Adds a job to those with tasks to be placed, if it has pending tasks and may run.
     pub(crate) fn enqueue_if_pending(&mut self, index: JobIndex) {
         let job = &self.jobs[&index];
         if job.end.is_none() && !job.is_blocked && job.pending_tasks() > 0 {
@@ -273,7 +276,7 @@
         }
     }
 
-    /// An attempt of a job is or may be on a machine.
+    /// Counts an attempt of a job that is or may be on a machine, and charges its team.
     pub(crate) fn on_attempt_added(&mut self, index: JobIndex) {
         if let Some(job) = self.jobs.get_mut(&index) {
             job.live_attempts += 1;
@@ -282,7 +285,8 @@
         self.charge_team(index);
     }
 
-    /// An attempt of a job is off its machine.
+    /// Counts that an attempt of a job is off its machine. The team's usage is released separately, as an attempt that
+    /// completed uses no resources any more.
     pub(crate) fn on_attempt_removed(&mut self, index: JobIndex) {
         if let Some(job) = self.jobs.get_mut(&index) {
             job.live_attempts = job.live_attempts.saturating_sub(1);
--- a/src/leader/pending_transaction.rs
+++ b/src/leader/pending_transaction.rs
@@ -1,5 +1,5 @@
-//! A transaction of the leader together with what it records, so that its outcome can be carried over to the leader's
-//! state.
+//! A transaction of the leader, together with the jobs, records and zones that it writes, so that the leader can update
+//! its state once the outcome is known.
 
 use std::rc::Rc;
 
@@ -10,52 +10,53 @@
 
 /// An assignment record that a transaction writes.
 pub(super) struct WrittenRecord {
-    /// Its number in the assignment log.
+    /// The record's number in the assignment log.
     pub(super) number: u64,
     /// The tasks that it records.
     pub(super) tasks: Vec<LoggedTask>,
 }
 
-/// What a transaction is about, beside its changes.
+/// The jobs, records and zones that the changes of a transaction concern.
 #[derive(Default)]
 pub(super) struct TransactionContent {
-    /// The assignment records that it writes.
+    /// The assignment records that the transaction writes.
     pub(super) records: Vec<WrittenRecord>,
-    /// The oldest assignment record that is valid from then on, if records are written.
+    /// The number of the oldest assignment record that is valid once the transaction is applied. None if the transaction
+    /// writes no assignment record.
     pub(super) oldest_valid: Option<u64>,
-    /// Numbers of invalid assignment records that it deletes.
+    /// Numbers of the invalid assignment records that the transaction deletes.
     pub(super) deleted_records: Vec<u64>,
-    /// Jobs whose end it creates.
+    /// Jobs whose end records the transaction creates.
     pub(super) ends: Vec<JobIndex>,
-    /// Jobs whose record it deletes.
+    /// Jobs whose records the transaction deletes.
     pub(super) deleted_jobs: Vec<JobIndex>,
-    /// Zones whose delegation it writes.
+    /// Zones whose delegations the transaction writes.
     pub(super) delegated_zones: Vec<Rc<str>>,
 }
 
-/// A transaction that is being put together.
+/// A transaction that is being built.
 pub(super) struct DraftTransaction {
     pub(super) txn: Txn,
     pub(super) content: TransactionContent,
 }
 
 impl DraftTransaction {
-    /// No changes yet, on the condition that the fencing token is still that of the leader.
+    /// A transaction without changes, on the condition that the fencing token is still that of the leader.
     pub(super) fn new(fencing_token: u64) -> Self {
-        let is_leader = Condition {
+        let still_leader = Condition {
             key: keys::leader(),
             revision: fencing_token,
         };
         DraftTransaction {
             txn: Txn {
-                conditions: vec![is_leader],
+                conditions: vec![still_leader],
                 changes: Vec::new(),
             },
             content: TransactionContent::default(),
         }
     }
 
-    /// How many changes it makes so far.
+    /// The number of changes so far.
     pub(super) fn len(&self) -> usize {
         self.txn.changes.len()
     }
@@ -65,7 +66,7 @@
         self.txn.conditions.push(Condition { key, revision: 0 });
     }
 
-    /// The transaction as it is sent.
+    /// Completes the transaction, which is then sent.
     pub(super) fn into_in_flight(self) -> InFlightTransaction {
         InFlightTransaction {
             txn: Rc::new(self.txn),
@@ -74,7 +75,7 @@
     }
 }
 
-/// A transaction that was sent and whose outcome is not known yet.
+/// A transaction that is sent, until its outcome is known.
 pub(super) struct InFlightTransaction {
     pub(super) txn: Rc<Txn>,
     pub(super) content: TransactionContent,
--- a/src/leader/reconciliation.rs
+++ b/src/leader/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of heartbeats with the state: what runs on a machine, what exited, what is gone.
+//! Reconciliation of the leader's state with heartbeats: attempts that are on a machine, have exited, or are gone.
 
 use std::collections::HashSet;
 
@@ -13,36 +13,35 @@
 
 /// What the worker is to do with an attempt that has exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ExitedAttempt {
-    /// Forget it, as nothing depends on its report any more.
-    Reap,
-    /// Keep reporting it.
-    Keep,
+pub(super) enum ExitedAttemptAction {
+    /// Forget the attempt, as nothing depends on its report any more.
+    Forget,
+    /// Keep reporting the attempt in heartbeats.
+    KeepReporting,
 }
 
-impl ExitedAttempt {
-    /// To be reaped if the condition holds.
-    fn reap_if(condition: bool) -> Self {
+impl ExitedAttemptAction {
+    fn forget_if(condition: bool) -> Self {
         if condition {
-            ExitedAttempt::Reap
+            ExitedAttemptAction::Forget
         } else {
-            ExitedAttempt::Keep
+            ExitedAttemptAction::KeepReporting
         }
     }
 }
 
 impl Leader {
-    /// Takes in a heartbeat. Returns the commands that its answer should carry in any case, or none if it isn't
-    /// new: it may be a late copy, and its answer carries no commands then. For what else the answer to
-    /// a periodic heartbeat carries see [`Leader::append_reply_commands`].
+    /// Updates the state from a heartbeat. Returns the stop and forget commands that follow from the heartbeat alone. None if
+    /// the heartbeat isn't newer than all before it: it may be a late copy, and its answer carries none of these commands.
+    /// [`Leader::append_reply_commands`] adds the other commands to the answer to a periodic heartbeat.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         origin: HeartbeatOrigin,
         now: Time,
     ) -> Option<Vec<Command>> {
-        // A heartbeat of a machine whose return the cloud has confirmed was delayed on its way:
-        // the machine is gone, and adding it anew would only have it returned once more.
+        // The cloud has confirmed the return of this machine, so the heartbeat was delayed in the network. Adding the
+        // machine again would only lead to another return.
         if self.autoscaler.cloud.is_returned(&heartbeat.machine) {
             return None;
         }
@@ -55,11 +54,11 @@
             .get(&index)
             .is_some_and(|machine| self.fleet.is_schedulable(machine, now));
         let machine = self.fleet.machines.get_mut(&index)?;
-        let before = (machine.used, machine.quarantined);
+        let used_and_quarantined_before = (machine.used, machine.quarantined);
         machine.update_description(heartbeat, &self.catalog);
         machine.record_acknowledgement(origin, now);
-        // An older heartbeat than one already seen proves nothing, and nothing is sent with its
-        // answer: the worker may have given up on it.
+        // A heartbeat that isn't newer says nothing about the present state, and its answer carries no commands: the worker
+        // may no longer wait for it.
         if !machine.is_new_heartbeat(heartbeat) {
             return None;
         }
@@ -67,21 +66,21 @@
         let zone = machine.zone.clone();
         self.fleet.zones.record_contact(zone, now);
         let commands = self.reconcile_attempts(index, heartbeat, origin, now);
-        self.on_preemption_notice(index, now);
+        self.stop_before_preemption(index, now);
         let rule = self.scheduler.rule;
         let machine = self.fleet.machines.get_mut(&index)?;
         if machine.capacity.cpus > 0.0 {
             machine.price = rule.price_of_load(machine.used.largest_share(machine.capacity));
         }
-        // A placement pass is worth its time only if there is room that was not there before.
-        if before != (machine.used, machine.quarantined) || !was_schedulable {
+        // A scheduling pass is worth its time only if the free capacity may have grown.
+        if used_and_quarantined_before != (machine.used, machine.quarantined) || !was_schedulable {
             self.request_placement();
         }
         Some(commands)
     }
 
-    /// Compares the attempts on a machine with those that a new heartbeat lists. Returns the commands that its answer should
-    /// carry in any case.
+    /// Compares the attempts on a machine with those that a new heartbeat lists. Returns the stop and forget commands that
+    /// follow from the heartbeat alone.
     fn reconcile_attempts(
         &mut self,
         index: MachineIndex,
@@ -98,7 +97,7 @@
         for reported in &heartbeat.tasks {
             let key = self.attempt_key(reported);
             listed.extend(key);
-            commands.extend(self.on_task(index, reported, key, fenced, now));
+            commands.extend(self.on_reported_task(index, reported, key, fenced, now));
         }
         let machine = self.fleet.machines.get_mut(&index);
         let gone = machine.map(|machine| machine.gone_attempts(&listed, origin, fenced));
@@ -108,7 +107,7 @@
         commands
     }
 
-    /// The attempt that a heartbeat lists, if its job is known.
+    /// Identifies an attempt that a heartbeat lists. None if its job is unknown or has no such task.
     fn attempt_key(&self, reported: &TaskStatus) -> Option<AttemptKey> {
         let (id, task) = parse_task_name(&reported.task)?;
         let job = self.job_index(id)?;
@@ -119,9 +118,9 @@
         })
     }
 
-    /// Takes in the state of a task that a heartbeat lists. Returns the command that its answer should carry in any case.
+    /// Handles the state of an attempt that a heartbeat lists. Returns the stop or forget command that follows from it.
     /// `fenced`: the heartbeat shows this leader's fencing token.
-    fn on_task(
+    fn on_reported_task(
         &mut self,
         index: MachineIndex,
         reported: &TaskStatus,
@@ -129,29 +128,31 @@
         fenced: bool,
         now: Time,
     ) -> Option<Command> {
-        // What isn't the name of a task is ignored.
+        // A string that isn't a valid task name is ignored.
         parse_task_name(&reported.task)?;
         let (task, attempt) = (reported.task.clone(), reported.attempt);
         if reported.state == TaskState::Exited {
             let exit_reason = reported.exit_reason.unwrap_or(ExitReason::Other);
-            let exited = match key {
-                Some(key) => self.on_task_exit(index, key, exit_reason, fenced, now),
-                None => ExitedAttempt::reap_if(fenced),
+            let action = match key {
+                Some(key) => self.on_attempt_exit(index, key, exit_reason, fenced, now),
+                None => ExitedAttemptAction::forget_if(fenced),
             };
             let named = NamedAttempt { task, attempt };
             let machine = self.fleet.machines.get(&index);
-            let may_reap = machine.is_none_or(|machine| machine.may_reap(&named));
-            return (exited == ExitedAttempt::Reap && may_reap).then_some(Command::Forget {
-                task: named.task,
-                attempt,
-            });
+            let may_forget = machine.is_none_or(|machine| machine.may_reap(&named));
+            return (action == ExitedAttemptAction::Forget && may_forget).then_some(
+                Command::Forget {
+                    task: named.task,
+                    attempt,
+                },
+            );
         }
         match key {
             Some(key) => {
-                self.on_task_alive(index, key, reported.state, now);
+                self.on_live_attempt(index, key, reported.state, now);
                 None
             }
-            // Of a job that has ended and whose records are deleted.
+            // An attempt of a job that has ended and whose records are deleted.
             None => Some(Command::Stop {
                 task,
                 attempt,
@@ -160,28 +161,30 @@
         }
     }
 
-    /// Whether work waits that a machine could be given within this moment.
+    /// Returns whether any job has tasks to be placed. The answer to a heartbeat is then held for a short time, so that it can
+    /// carry launches on the machine's free capacity.
     pub fn has_work_waiting(&self) -> bool {
         !self.scheduler.waiting_jobs.is_empty()
     }
 
-    /// An attempt has exited. `fenced`: its worker has shown this leader's fencing token.
-    pub(super) fn on_task_exit(
+    /// Handles the exit of an attempt, and decides what its worker is to do with it. `fenced`: the worker has shown this
+    /// leader's fencing token.
+    pub(super) fn on_attempt_exit(
         &mut self,
         index: MachineIndex,
         key: AttemptKey,
         exit_reason: ExitReason,
         fenced: bool,
         now: Time,
-    ) -> ExitedAttempt {
+    ) -> ExitedAttemptAction {
         let Some(machine) = self.fleet.machines.get_mut(&index) else {
-            return ExitedAttempt::Keep;
+            return ExitedAttemptAction::KeepReporting;
         };
         let known = machine.attempts.get(&key).cloned();
-        // An attempt of a former leader that has not been fenced off here: a late command of
-        // that leader could still start it again once it is reaped.
+        // A former leader may have launched the attempt, and the worker still accepts commands of that leader: a late one
+        // could start the attempt again once the worker has forgotten it.
         if !fenced && known.as_ref().is_none_or(|attempt| attempt.inherited) {
-            return ExitedAttempt::Keep;
+            return ExitedAttemptAction::KeepReporting;
         }
         let job = &self.jobs[&key.job];
         if known
@@ -193,24 +196,24 @@
                 attempt: key.attempt,
             });
         }
-        // A service's task is never done: one that exits starts anew.
+        // A service's task is never done: one that exits is placed again.
         if exit_reason == ExitReason::Done && job.spec.kind != JobKind::Service {
             machine.complete_attempt(&key);
-            return self.on_completion(key, known, now);
+            return self.on_attempt_completed(key, known, now);
         }
         if known.is_some() {
-            self.on_failed_exit(index, key, exit_reason, now);
+            self.on_attempt_failed(index, key, exit_reason, now);
         }
-        ExitedAttempt::Reap
+        ExitedAttemptAction::Forget
     }
 
-    /// An attempt has completed; `known` is what was known of it before.
-    fn on_completion(
+    /// Handles an attempt that has completed. `known` is the state of the attempt before this report, if there was one.
+    fn on_attempt_completed(
         &mut self,
         key: AttemptKey,
         known: Option<TaskAttempt>,
         now: Time,
-    ) -> ExitedAttempt {
+    ) -> ExitedAttemptAction {
         let newly_completed = known.filter(|attempt| !attempt.completed);
         if newly_completed.is_some() {
             self.release_team(key.job);
@@ -220,11 +223,12 @@
             .map(|since| now - since);
         self.on_task_done(key, run_s, now);
         let job = &self.jobs[&key.job];
-        ExitedAttempt::reap_if(job.end.is_some() || job.is_completion_stored(key.task))
+        ExitedAttemptAction::forget_if(job.end.is_some() || job.is_completion_stored(key.task))
     }
 
-    /// An attempt that was on a machine has exited without having completed.
-    fn on_failed_exit(
+    /// Handles an attempt that has exited without completing: finds out whether its machine or its job is at fault, and
+    /// releases the attempt.
+    fn on_attempt_failed(
         &mut self,
         index: MachineIndex,
         key: AttemptKey,
@@ -235,21 +239,28 @@
             exit_reason,
             ExitReason::Error | ExitReason::Other | ExitReason::NoSuchTask
         ) {
-            self.on_task_error(key.job, index, now);
+            self.attribute_task_failure(key.job, index, now);
         }
         if exit_reason == ExitReason::InUse
             && let Some(job) = self.jobs.get_mut(&key.job)
         {
-            // Another attempt, perhaps one that must not be reaped, is in the way there.
+            // Another attempt of the task is on that machine, perhaps one that must not be forgotten.
             job.failed_machines.insert(index);
         }
         self.release_attempt(index, key, now);
     }
 
-    /// An attempt is on a machine, in this state.
-    fn on_task_alive(&mut self, index: MachineIndex, key: AttemptKey, state: TaskState, now: Time) {
+    /// Handles an attempt that is on a machine and has not exited. The attempt is stopped if its job has ended or its task is
+    /// not assigned to the machine as this attempt.
+    fn on_live_attempt(
+        &mut self,
+        index: MachineIndex,
+        key: AttemptKey,
+        state: TaskState,
+        now: Time,
+    ) {
         let job = &self.jobs[&key.job];
-        let must_stop = job.end.is_some() || !self.is_bound(index, key);
+        let must_stop = job.end.is_some() || !self.is_current_assignment(index, key);
         let resources = job.task_resources();
         let Some(machine) = self.fleet.machines.get_mut(&index) else {
             return;
--- a/src/leader/relays.rs
+++ b/src/leader/relays.rs
@@ -1,4 +1,4 @@
-//! Relays: what delegates report to the leader of zones that it can't reach.
+//! Relays: the reports of delegates on zones that the leader can't reach.
 
 use super::Leader;
 use crate::fleet::AttemptKey;
@@ -8,8 +8,9 @@
 use crate::store::records::{RelayRecord, TaskRange};
 
 impl Leader {
-    /// A delegate reports tasks that completed, and agent epochs that began. Both stay true whatever
-    /// else happens, late copies included; nothing is reaped for them.
+    /// Handles a delegate's report of tasks that completed, and of agent epochs in which workers have seen this leader's
+    /// fencing token. Both facts stay true whatever happens later, so late and repeated reports do no harm. No worker is
+    /// made to forget an attempt because of a relay.
     pub fn on_relay(&mut self, record: &RelayRecord, now: Time) {
         if record.fencing_token != self.fencing_token {
             return;
@@ -30,7 +31,7 @@
         }
     }
 
-    /// A range of a job's tasks completed in an attempt.
+    /// Handles that a range of a job's tasks completed in an attempt.
     fn on_relayed_completions(
         &mut self,
         index: JobIndex,
@@ -47,12 +48,13 @@
                     task,
                     attempt,
                 };
-                self.on_task_exit(machine, key, ExitReason::Done, true, now);
+                self.on_attempt_exit(machine, key, ExitReason::Done, true, now);
             }
         }
     }
 
-    /// The worker of a machine has seen this leader's fencing token in an agent epoch. What is gone for that is released.
+    /// Handles that the worker of a machine has seen this leader's fencing token in an agent epoch, and releases the attempts
+    /// that are gone by that.
     fn on_relayed_epoch(&mut self, machine: &str, agent_epoch: u64, now: Time) {
         let Some(index) = self.fleet.find(machine) else {
             return;
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -1,4 +1,5 @@
-//! Carries out what the autoscaler decides, and passes it what it decides on.
+//! Scaling of the fleet: provides the autoscaler with its inputs, carries out its decisions, and handles the answers of the
+//! cloud.
 
 use std::rc::Rc;
 
@@ -12,20 +13,22 @@
 use crate::runtime::Time;
 
 impl Leader {
-    /// Looks after machines: lost ones, needed ones, unneeded ones.
+    /// Releases attempts whose worker's lease has expired, returns lost machines, and runs the autoscaler's pass if it is due.
+    /// Called periodically.
     pub fn maintain_fleet(&mut self, now: Time) {
-        // Backoffs of machines and jobs end without an event.
+        // The end of a machine's or job's backoff is no event, so placement is tried again here.
         self.request_placement();
         self.expire_leases(now);
         self.return_lost_machines(now);
         let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
         if self.autoscaler.begin_pass_if_due(heartbeat_interval_s, now) {
             self.update_image_prevalence(now);
-            self.scale(now);
+            self.run_scaling_pass(now);
         }
     }
 
-    /// Returns machines that died, never came up, fail their tasks or are silent for too long.
+    /// Returns machines that count as lost to the cloud: silent, unresponsive, never up, quarantined, or possibly about to run
+    /// a launch in doubt. Also detects partitions of zones, unless the silence may be due to this controller itself.
     fn return_lost_machines(&mut self, now: Time) {
         let evidence = self.fleet.silence_evidence(now);
         let lost: Vec<MachineIndex> = self
@@ -45,15 +48,16 @@
         }
     }
 
-    /// Decides which machines are needed, rents what lacks and lets go of what is too many.
-    fn scale(&mut self, now: Time) {
+    /// Decides which machines are needed, preempts for large work that waits, returns surplus machines, and rents those that
+    /// are missing.
+    fn run_scaling_pass(&mut self, now: Time) {
         let (autoscaler, inputs) = self.autoscaler_with_inputs(now);
         let plan = autoscaler.plan(&inputs);
         self.assign_roles(&plan.units);
         for class in &plan.preempting_classes {
-            self.preempt_for(class, &plan.units, now);
+            self.preempt_for_class(class, &plan.units, now);
         }
-        // What was preempted counts for what follows.
+        // Scale-in and renting see the state after preemption.
         self.scale_in(&plan.units, now);
         if tracing::enabled!(tracing::Level::DEBUG) {
             diagnostics::log_fleet(&self.fleet, &self.catalog);
@@ -63,7 +67,7 @@
         autoscaler.rent(plan, &inputs, term_started_at, fencing_token);
     }
 
-    /// The autoscaler, and what its decisions need.
+    /// Borrows the autoscaler together with the parts of the leader's state that its decisions need.
     fn autoscaler_with_inputs(&mut self, now: Time) -> (&mut Autoscaler, ScalingInputs<'_>) {
         let inputs = ScalingInputs {
             config: &self.config,
@@ -77,21 +81,24 @@
         (&mut self.autoscaler, inputs)
     }
 
-    /// Notes on each machine the work that it is kept for.
+    /// Sets the role of each machine that the plan keeps for large or shared work.
     fn assign_roles(&mut self, units: &[CapacityUnit]) {
         for unit in units {
             let Some(role) = unit.planned_role else {
                 continue;
             };
-            if let Some(machine) = unit.index.and_then(|i| self.fleet.machines.get_mut(&i)) {
+            if let Some(machine) = unit
+                .index
+                .and_then(|index| self.fleet.machines.get_mut(&index))
+            {
                 machine.draining = false;
-                // Small tasks on a machine that is kept for large work run to their end there.
+                // Small tasks that run on a machine now kept for large work may complete there.
                 machine.role = role;
             }
         }
     }
 
-    /// Drains and returns machines that have not been needed for a while.
+    /// Drains and returns machines that have been surplus for some time.
     fn scale_in(&mut self, units: &[CapacityUnit], now: Time) {
         let (_, inputs) = self.autoscaler_with_inputs(now);
         let plan = inputs.scale_in_plan(units);
@@ -119,13 +126,17 @@
         }
     }
 
-    /// Lets what runs on a machine save its progress, to go on elsewhere. At the end of a day a single long task
-    /// on each of a hundred machines once held them all for minutes.
+    /// Stops the attempts on a machine with time to save a checkpoint, so that their tasks continue on other machines.
+    /// Otherwise, when demand falls, a single long task on each of a hundred machines keeps all of them rented for minutes.
     fn evict_gracefully(&mut self, index: MachineIndex) {
         let Some(machine) = self.fleet.machines.get_mut(&index) else {
             return;
         };
-        for (key, task_attempt) in machine.attempts.iter_mut().filter(|(_, a)| !a.completed) {
+        for (key, task_attempt) in machine
+            .attempts
+            .iter_mut()
+            .filter(|(_, attempt)| !attempt.completed)
+        {
             task_attempt
                 .stop_grace_s
                 .get_or_insert(self.jobs[&key.job].spec.save_s);
@@ -134,23 +145,23 @@
         self.fleet.direct_call_queue.insert(index);
     }
 
-    /// Begins the return of a machine.
+    /// Begins the return of a machine to the cloud; `reason` is logged.
     pub(crate) fn return_machine(&mut self, index: MachineIndex, reason: &str) {
         let cloud = &mut self.autoscaler.cloud;
         cloud.return_machine(index, reason, &mut self.fleet);
     }
 
-    /// The next call to the cloud, if one is due.
+    /// Returns the next call to the cloud, if one is due. Rentals and returns are repeated until they are answered.
     pub fn next_cloud_call(&mut self, now: Time) -> Option<CloudCall> {
         let cloud = &mut self.autoscaler.cloud;
         cloud.next_call(&self.config.deployment, &self.fleet, now)
     }
 
-    /// Takes in what came of a call to the cloud.
+    /// Handles the answer to a call to the cloud.
     pub fn on_cloud_answer(&mut self, call: CloudCall, answer: CloudAnswer, now: Time) {
         let autoscaler = &mut self.autoscaler;
         match (call, answer) {
-            // Prices change; the types themselves stay while a term lasts.
+            // Only prices are updated during a term. A list with other machine types is ignored.
             (CloudCall::Types, CloudAnswer::Types(types))
                 if self.catalog.has_same_types(&types) =>
             {
@@ -174,12 +185,12 @@
                     self.on_machine_returned(&name, now);
                 }
             }
-            // Prices are asked for at the next interval; the same rental or return is requested again.
+            // After a failure, prices are requested at the next interval, and a rental or return is repeated.
             (CloudCall::Types | CloudCall::Rent(..) | CloudCall::Delete(_), _) => {}
         }
     }
 
-    /// The cloud has confirmed a machine's return.
+    /// Removes a machine whose return the cloud has confirmed.
     fn on_machine_returned(&mut self, name: &str, now: Time) {
         if let Some(index) = self.fleet.find(name) {
             self.autoscaler.cloud.dequeue_return(index);
@@ -188,18 +199,18 @@
         self.autoscaler.cloud.record_returned(name.into());
     }
 
-    /// Records the arrival of a job.
+    /// Records the arrival of a job for the forecast of demand.
     pub(crate) fn record_arrival(&mut self, index: JobIndex) {
         self.autoscaler.record_arrival(&self.jobs[&index].spec);
     }
 
-    /// Records the run time of a task, in seconds.
+    /// Records the run time of a completed task for the estimates of its job's class.
     pub(crate) fn record_run_time(&mut self, index: JobIndex, run_s: f64) {
         self.autoscaler
             .record_run_time(&self.jobs[&index].class, run_s);
     }
 
-    /// Below which priority jobs may borrow machines of a type that are kept for large work.
+    /// The priority below which jobs may borrow machines of a type that are kept for large work. None if no job may.
     pub(crate) fn borrowing_priority_limit(&self, type_index: usize) -> Option<Priority> {
         self.autoscaler.borrowing_priority_limit(
             type_index,
--- a/src/leader/scheduling.rs
+++ b/src/leader/scheduling.rs
@@ -1,4 +1,4 @@
-//! Carries out what the scheduler decides: assigns tasks to machines, and stops preempted ones.
+//! Carries out the scheduler's decisions: assigns tasks to machines, and stops preempted attempts.
 
 use super::Leader;
 use crate::autoscaler::{CapacityUnit, JobClass};
@@ -8,7 +8,7 @@
 use crate::scheduler::preemption::{PreemptedAttempt, PreemptionRequest, PreemptionStop};
 
 impl Leader {
-    /// Places the waiting jobs that find room. Each assignment is launched once it is stored.
+    /// Runs a scheduling pass over the waiting jobs, if one is requested. Each task is launched once its assignment is stored.
     pub fn schedule(&mut self, now: Time) {
         if !self.take_placement_request() || self.scheduler.waiting_jobs.is_empty() {
             return;
@@ -34,14 +34,20 @@
         self.scheduling_view(now).scheduling_order()
     }
 
-    /// Counts anew on how many machines each image is.
+    /// Recounts the machines that hold each image.
     pub(crate) fn update_image_prevalence(&mut self, now: Time) {
         self.scheduler.update_image_prevalence(&self.fleet, now);
     }
 
-    /// Preempts small tasks of lower priority where large work of a class waits and no machine can be had.
-    pub(crate) fn preempt_for(&mut self, class: &JobClass, units: &[CapacityUnit], now: Time) {
-        let kept_for_large = || {
+    /// Preempts small tasks of lower priority on machines that are kept for large work, for a class of large work that waits
+    /// and can't get other machines.
+    pub(crate) fn preempt_for_class(
+        &mut self,
+        class: &JobClass,
+        units: &[CapacityUnit],
+        now: Time,
+    ) {
+        let units_for_large_tasks = || {
             units
                 .iter()
                 .filter(|unit| unit.is_planned_for_large_tasks())
@@ -49,19 +55,19 @@
         let request = PreemptionRequest {
             priority: class.spec.priority,
             waiting_tasks: class.pending_tasks as usize,
-            ready_machines: kept_for_large()
+            ready_machines: units_for_large_tasks()
                 .filter(|unit| unit.up && !unit.runs_small_tasks && !unit.runs_large_tasks)
                 .count(),
-            occupied_machines: kept_for_large()
+            occupied_machines: units_for_large_tasks()
                 .filter(|unit| unit.runs_small_tasks)
                 .filter_map(|unit| unit.index)
                 .collect(),
         };
         let preempted = request.select(&self.fleet, &self.jobs);
-        self.preempt(&preempted, now);
+        self.stop_preempted(&preempted, now);
     }
 
-    /// What the scheduler reads of this leader's state.
+    /// Borrows the parts of the leader's state that the scheduler reads.
     fn scheduling_view(&self, now: Time) -> SchedulingView<'_> {
         SchedulingView {
             config: &self.config,
@@ -75,12 +81,12 @@
         }
     }
 
-    /// Assigns the next pending tasks of a job to these machines, all as one attempt.
+    /// Assigns the next pending tasks of a job to these machines, all with the same attempt number.
     fn assign_all(&mut self, index: JobIndex, assignments: &[Assignment], now: Time) {
         if assignments.is_empty() && self.jobs[&index].is_gang() {
             return;
         }
-        // An array that found no room takes a number as well; numbers left out do no harm.
+        // An array of which no task is placed uses up a number as well: gaps between attempt numbers do no harm.
         let attempt = self.next_attempt_number();
         for assignment in assignments {
             let Some(task) = self.jobs.get_mut(&index).and_then(Job::take_pending) else {
@@ -93,9 +99,10 @@
         }
     }
 
-    /// Stops preempted attempts: first those that workers must stop, then those that were never sent. The release of a
-    /// gang's task stops the rest of the gang without grace, which must not be replaced by a longer one afterwards.
-    fn preempt(&mut self, preempted: &[PreemptedAttempt], now: Time) {
+    /// Stops preempted attempts: first those that a worker must stop, then those whose launch was never sent. The order
+    /// matters for gangs: the release of a gang's task stops the rest of the gang with a grace period of 0, which a later
+    /// eviction would replace by a longer one.
+    fn stop_preempted(&mut self, preempted: &[PreemptedAttempt], now: Time) {
         for attempt in preempted {
             if let PreemptionStop::Evict { grace_s } = attempt.stop {
                 self.evict(attempt, grace_s);
@@ -108,7 +115,7 @@
         }
     }
 
-    /// Has a worker stop an attempt, with so many seconds to save a checkpoint.
+    /// Requests that the worker stops an attempt, with `grace_s` seconds to save a checkpoint.
     fn evict(&mut self, preempted: &PreemptedAttempt, grace_s: f64) {
         let Some(machine) = self.fleet.machines.get_mut(&preempted.machine) else {
             return;
--- a/src/leader/state_writer.rs
+++ b/src/leader/state_writer.rs
@@ -1,5 +1,5 @@
-//! What the leader is to write to the state service, and which of it goes into the next transaction. There is one
-//! transaction at a time.
+//! The leader's pending writes to the state service, and the choice of those that go into the next transaction. At most
+//! one transaction is in flight at a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -17,62 +17,65 @@
 use crate::store::records::{EndRecord, JobEnd};
 use crate::store::transaction::put_change;
 
-/// How long a batched write waits for others to join it, in heartbeat intervals of the workers.
+/// How long a batched write may wait for others to share its transaction, in heartbeat intervals of the workers.
 const BATCHED_WRITE_DELAY_HEARTBEATS: f64 = 0.25;
-/// Invalid assignment records that one transaction deletes.
+/// Maximum number of invalid assignment records that one transaction deletes.
 const DELETED_RECORDS_MAX: usize = 4;
-/// How often the limits of what is written are halved at the most.
-const LIMIT_BACKOFF_MAX: u32 = 5;
-/// A transaction makes at least so many changes, however far its limit was halved.
+/// Maximum number of times that the limits on the size of transactions and values are halved.
+const LIMIT_HALVINGS_MAX: u32 = 5;
+/// Lower bound of the limit on the changes in a transaction, however often the limit is halved.
 const TXN_OPS_MIN: usize = 2;
 
-/// How soon something must be written.
+/// How soon a change must be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteUrgency {
-    /// With the next transaction: something waits for it.
+    /// In the next transaction, as other work waits for the write.
     Immediate,
-    /// A little later, together with what joins it until then.
+    /// Within [`BATCHED_WRITE_DELAY_HEARTBEATS`], together with the changes that arrive meanwhile.
     Batched,
 }
 
-/// Tasks of a job whose state differs from the assignment log.
+/// The tasks of a job whose state differs from the assignment log.
 pub(super) struct PendingWrites {
-    /// By when they must be written.
+    /// When the earliest of them is due to be written.
     pub(super) due: Time,
+    /// Numbers of the tasks; a number may occur several times.
     pub(super) tasks: Vec<u32>,
 }
 
-/// What a transaction is made from.
+/// The parts of the leader's state from which a transaction is built.
 pub(super) struct WriteSource<'a> {
     pub(super) fencing_token: u64,
     pub(super) limits: &'a StateLimits,
     pub(super) jobs: &'a JobTable,
     pub(super) fleet: &'a mut Fleet,
-    /// The time of day in milliseconds, if it is known.
+    /// The time of day in milliseconds since 1970, if it is known.
     pub(super) unix_ms: Option<u64>,
 }
 
-/// What is to be written to the state service, and the transaction in flight.
+/// The pending writes to the state service, and the transaction in flight.
 pub(super) struct StateWriter {
-    /// Jobs with tasks whose assignment is to be written.
+    /// Jobs with tasks whose state is to be written to the assignment log.
     pub(super) pending: BTreeMap<JobIndex, PendingWrites>,
     pub(super) log: AssignmentLog,
-    /// When an assignment record was last written, if one was in this term.
+    /// When an assignment record was last put into a transaction in this term.
     pub(super) last_record_at: Option<Time>,
-    /// Jobs whose end is to be written.
+    /// Jobs whose end records are to be written.
     ends: BTreeSet<JobIndex>,
-    /// Jobs that are finished and off all machines: their records are to be deleted.
+    /// Finished jobs (ended and off all machines), whose records are to be deleted.
     pub(super) finished: BTreeSet<JobIndex>,
     pub(super) in_flight: Option<InFlightTransaction>,
     pub(super) budget: WriteBudget,
-    /// If only one change may be written, an end goes before an assignment record.
-    end_goes_first: bool,
-    /// How often the limits of what is written were halved, as the service took less than its settings say.
-    pub(super) limit_backoff: u32,
+    /// Decides which change is made when the budget allows a single one while both a job's end and an assignment record are
+    /// due: the end if true. Toggled at each such transaction.
+    single_change_is_end: bool,
+    /// How many times the limits on the size of transactions and values were halved, because the service rejected
+    /// transactions within the limits of the settings as too large.
+    pub(super) limit_halvings: u32,
 }
 
 impl StateWriter {
-    /// Nothing to write.
+    /// A writer without pending writes.
     pub(super) fn new(log: AssignmentLog, now: Time) -> Self {
         StateWriter {
             pending: BTreeMap::new(),
@@ -82,12 +85,12 @@
             finished: BTreeSet::new(),
             in_flight: None,
             budget: WriteBudget::new(now),
-            end_goes_first: false,
-            limit_backoff: 0,
+            single_change_is_end: false,
+            limit_halvings: 0,
         }
     }
 
-    /// A task is no longer as the assignment log says.
+    /// Schedules a write of a task whose state differs from the assignment log.
     pub(super) fn mark_pending(
         &mut self,
         index: JobIndex,
@@ -108,29 +111,31 @@
         pending.tasks.push(task);
     }
 
-    /// A job ended: its end is to be written, its assignments no longer.
+    /// Schedules the write of a job's end, and drops the pending writes of its tasks: the end makes them superfluous.
     pub(super) fn mark_ended(&mut self, index: JobIndex) {
         self.pending.remove(&index);
         self.ends.insert(index);
     }
 
-    /// A job's end is stored, or another one is.
-    pub(super) fn end_is_stored(&mut self, index: JobIndex) {
+    /// Drops the pending write of a job's end, as an end of the job is stored: this one, or one that another controller
+    /// wrote.
+    pub(super) fn on_end_stored(&mut self, index: JobIndex) {
         self.ends.remove(&index);
     }
 
-    /// A job is finished and off all machines.
+    /// Schedules the deletion of the records of a finished job.
     pub(super) fn mark_finished(&mut self, index: JobIndex) {
         self.pending.remove(&index);
         self.finished.insert(index);
     }
 
-    /// A finished job has an attempt on a machine after all.
+    /// Cancels the deletion of a job's records, as an attempt of the job is on a machine after all or the records are
+    /// deleted already.
     pub(super) fn unmark_finished(&mut self, index: JobIndex) {
         self.finished.remove(&index);
     }
 
-    /// The next transaction to send, if one is due; it stays the same until its outcome is known.
+    /// Returns the next transaction to send, if one is due. The same transaction is returned until its outcome is known.
     pub(super) fn next_transaction(
         &mut self,
         mut source: WriteSource<'_>,
@@ -140,12 +145,12 @@
             return Some(in_flight.txn.clone());
         }
         self.budget.refill(source.limits.write_rps, now);
-        let txn_ops = (source.limits.txn_ops >> self.limit_backoff).max(TXN_OPS_MIN);
-        let ops = self.budget.available().min(txn_ops);
-        if ops == 0 {
+        let txn_changes_max = (source.limits.txn_ops >> self.limit_halvings).max(TXN_OPS_MIN);
+        let changes_max = self.budget.available().min(txn_changes_max);
+        if changes_max == 0 {
             return None;
         }
-        let draft = self.draft(&mut source, txn_ops, ops, now)?;
+        let draft = self.draft(&mut source, txn_changes_max, changes_max, now)?;
         if draft.len() == 0 {
             return None;
         }
@@ -156,55 +161,66 @@
         Some(txn)
     }
 
-    /// Puts a transaction together: delegations, ends, assignment records, then deletions. `ops` changes may be made, of
-    /// the `txn_ops` that a transaction takes. None if a value can't be serialized.
+    /// Builds a transaction of delegations, ends, assignment records and deletions, in this order. `txn_changes_max` is the
+    /// limit on the changes in a transaction, and `changes_max` the same limit reduced to the write budget. None if a value
+    /// can't be serialized.
     fn draft(
         &mut self,
         source: &mut WriteSource<'_>,
-        txn_ops: usize,
-        ops: usize,
+        txn_changes_max: usize,
+        changes_max: usize,
         now: Time,
     ) -> Option<DraftTransaction> {
-        let writes_records = self.records_have_their_turn(ops, source.limits, now);
-        let before_records = ops.saturating_sub(usize::from(writes_records));
+        let writes_records = self.should_write_records(changes_max, source.limits, now);
+        // One change is reserved for an assignment record.
+        let changes_max_before_records = changes_max.saturating_sub(usize::from(writes_records));
         let mut draft = DraftTransaction::new(source.fencing_token);
         draft.content.delegated_zones = source.fleet.zones.append_writes(
             source.fencing_token,
-            before_records,
+            changes_max_before_records,
             &mut draft.txn.conditions,
             &mut draft.txn.changes,
         );
-        self.write_ends(&mut draft, source, before_records)?;
+        self.add_ends(&mut draft, source, changes_max_before_records)?;
         if writes_records {
-            self.write_records(&mut draft, source, ops, now)?;
+            self.add_records(&mut draft, source, changes_max, now)?;
         }
-        // Deletions are worth no write that anything else could use.
-        let spare = txn_ops.min(self.budget.available() / 2);
-        self.delete_obsolete(&mut draft, source, spare);
+        // Deletions are added only while the transaction uses less than half of the budget: they must not delay other
+        // writes.
+        let changes_max_with_deletions = txn_changes_max.min(self.budget.available() / 2);
+        self.add_deletions(&mut draft, source, changes_max_with_deletions);
         Some(draft)
     }
 
-    /// Whether assignment records are written now, if so many changes may be made.
-    fn records_have_their_turn(&mut self, ops: usize, limits: &StateLimits, now: Time) -> bool {
-        let is_due = self.records_due_at(limits).is_some_and(|at| at <= now);
-        if ops == 1 && is_due && !self.ends.is_empty() {
-            // One change is allowed and two are due: they take turns. Under a low limit the assignment log once took
-            // all of them, and the ends of jobs, with the jobs that wait on them, came a hundred seconds late.
-            self.end_goes_first = !self.end_goes_first;
-            return !self.end_goes_first;
+    /// Decides whether a transaction of at most `changes_max` changes writes assignment records.
+    fn should_write_records(
+        &mut self,
+        changes_max: usize,
+        limits: &StateLimits,
+        now: Time,
+    ) -> bool {
+        let records_due = self
+            .records_due_at(limits)
+            .is_some_and(|due_at| due_at <= now);
+        if changes_max == 1 && records_due && !self.ends.is_empty() {
+            // The budget allows one change and two are due, so they alternate. Otherwise, under a low write limit, the
+            // assignment log uses every write, and the ends of jobs, with the start of the jobs that depend on them, are
+            // delayed by a hundred seconds.
+            self.single_change_is_end = !self.single_change_is_end;
+            return !self.single_change_is_end;
         }
-        is_due
+        records_due
     }
 
-    /// Adds ends of jobs until there are `ops` changes.
-    fn write_ends(
+    /// Adds ends of jobs until the transaction has `changes_max` changes. None if a value can't be serialized.
+    fn add_ends(
         &self,
         draft: &mut DraftTransaction,
         source: &WriteSource<'_>,
-        ops: usize,
+        changes_max: usize,
     ) -> Option<()> {
         for index in &self.ends {
-            if draft.len() >= ops {
+            if draft.len() >= changes_max {
                 break;
             }
             let job = &source.jobs[index];
@@ -223,43 +239,45 @@
         Some(())
     }
 
-    /// Adds deletions of what no controller needs any more until there are `ops` changes.
-    fn delete_obsolete(
+    /// Adds deletions of keys that no controller needs any more, until the transaction has `changes_max` changes.
+    fn add_deletions(
         &self,
         draft: &mut DraftTransaction,
         source: &mut WriteSource<'_>,
-        ops: usize,
+        changes_max: usize,
     ) {
         let changes = &mut draft.txn.changes;
-        let records = ops.saturating_sub(changes.len()).min(DELETED_RECORDS_MAX);
-        draft.content.deleted_records = self.log.invalid(records);
+        let records_max = changes_max
+            .saturating_sub(changes.len())
+            .min(DELETED_RECORDS_MAX);
+        draft.content.deleted_records = self.log.invalid(records_max);
         for number in &draft.content.deleted_records {
             let key = keys::assignment_record(*number);
             changes.push(Change::Delete { key });
         }
         for index in &self.finished {
-            if changes.len() >= ops {
+            if changes.len() >= changes_max {
                 break;
             }
             let key = keys::job(&source.jobs[index].id);
             changes.push(Change::Delete { key });
             draft.content.deleted_jobs.push(*index);
         }
-        let left = ops.saturating_sub(changes.len());
-        for key in source.fleet.zones.take_obsolete_keys(left) {
+        let keys_max = changes_max.saturating_sub(changes.len());
+        for key in source.fleet.zones.take_obsolete_keys(keys_max) {
             changes.push(Change::Delete { key });
         }
     }
 
-    /// When something that isn't due yet is to be written, if anything is; `now_at_once` stands for at once.
+    /// When the next write is due, if there is any. Writes that are due at once return `immediately`, a moment in the past.
     pub(super) fn next_write_at(
         &self,
         limits: &StateLimits,
         has_delegations: bool,
-        now_at_once: Time,
+        immediately: Time,
     ) -> Option<Time> {
         if !self.ends.is_empty() || has_delegations {
-            return Some(now_at_once);
+            return Some(immediately);
         }
         match self.records_due_at(limits) {
             None if !self.finished.is_empty() => Some(self.budget.refilled_at() + 1.0),
@@ -267,8 +285,9 @@
         }
     }
 
-    /// The service took less than its settings say: what is written from now on is half as large.
+    /// Halves the size of transactions and values written from now on, as the service rejected a transaction within the
+    /// limits of its settings as too large.
     pub(super) fn halve_limits(&mut self) {
-        self.limit_backoff = (self.limit_backoff + 1).min(LIMIT_BACKOFF_MAX);
+        self.limit_halvings = (self.limit_halvings + 1).min(LIMIT_HALVINGS_MAX);
     }
 }
--- a/src/leader/transaction_outcomes.rs
+++ b/src/leader/transaction_outcomes.rs
@@ -1,4 +1,5 @@
-//! The leader's transactions: the next one to send, and what follows from the outcome of the one in flight.
+//! The leader's transactions: the next one to send, and the changes of the leader's state that follow from the outcome of
+//! the one in flight.
 
 use std::rc::Rc;
 
@@ -13,7 +14,7 @@
 use crate::store::transaction::TxnOutcome;
 
 impl Leader {
-    /// A task is no longer as the assignment log says.
+    /// Schedules a write of a task whose state differs from the assignment log.
     pub(super) fn mark_pending_write(
         &mut self,
         index: JobIndex,
@@ -26,7 +27,7 @@
             .mark_pending(index, task, urgency, heartbeat_interval_s, now);
     }
 
-    /// The next transaction to send, if one is due; it stays the same until its outcome is known.
+    /// Returns the next transaction to send, if one is due. The same transaction is returned until its outcome is known.
     pub fn next_transaction(&mut self, now: Time) -> Option<Rc<Txn>> {
         let unix_ms = self.unix_ms(now);
         let source = WriteSource {
@@ -39,7 +40,7 @@
         self.writer.next_transaction(source, now)
     }
 
-    /// When something that isn't due yet is to be written, if anything is.
+    /// When the next write is due, if there is any. Writes that are due at once return a moment in the past.
     pub fn next_write_at(&self) -> Option<Time> {
         let limits = &self.config.deployment.state;
         let has_delegations = self.fleet.zones.has_pending_write();
@@ -47,7 +48,7 @@
             .next_write_at(limits, has_delegations, self.term_started_at)
     }
 
-    /// Takes in the outcome of the transaction in flight.
+    /// Handles the outcome of the transaction in flight.
     pub fn on_transaction_outcome(&mut self, outcome: TxnOutcome, now: Time) -> AfterTransaction {
         if self.writer.in_flight.is_none() {
             return AfterTransaction::Continue;
@@ -63,8 +64,8 @@
                 AfterTransaction::Retry
             }
             TxnOutcome::TooLarge => {
-                // The same again would be refused for ever, and all writes wait for this one: its content is written
-                // in smaller pieces.
+                // Repeats of the transaction would be rejected each time, and would block all other writes. Its content
+                // is written in smaller transactions instead.
                 self.writer.halve_limits();
                 self.abort_transaction(now);
                 AfterTransaction::Retry
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Conditions of the transaction in flight failed: nothing of it was applied, at least not this time.
+    /// Handles failed conditions of the transaction in flight: this copy of it was not applied, but an earlier copy may have
+    /// been.
     fn on_conflict(&mut self, failed_keys: &[String], now: Time) -> AfterTransaction {
         if failed_keys.contains(&keys::leader()) {
             return AfterTransaction::LeadershipLost;
@@ -87,23 +89,23 @@
             .iter()
             .map(|index| (*index, keys::job_end(&self.jobs[index].id)))
             .collect();
-        let is_end = |key: &String| ends.iter().any(|(_, end)| end == key);
-        if let Some(other) = failed_keys.iter().find(|key| !is_end(key)) {
-            // Only this term writes that key: a copy was applied, even if the only one known of was refused.
-            // The leader once resigned for that.
-            return AfterTransaction::ReadBack(other.clone());
+        let is_end_key = |key: &String| ends.iter().any(|(_, end_key)| end_key == key);
+        if let Some(own_key) = failed_keys.iter().find(|key| !is_end_key(key)) {
+            // Only this term writes that key, so an earlier copy of the transaction was applied, even if the service
+            // refused every copy that this leader knows of. Reading the key back avoids a needless resignation.
+            return AfterTransaction::ReadBack(own_key.clone());
         }
-        // A user's withdrawal came first, or a copy of this transaction; the replica will show which.
+        // A user's cancellation or an earlier copy of this transaction stored the ends; the replica will show which.
         for (index, key) in ends {
             if failed_keys.contains(&key) {
-                self.writer.end_is_stored(index);
+                self.writer.on_end_stored(index);
             }
         }
         self.abort_transaction(now);
         AfterTransaction::Continue
     }
 
-    /// The transaction in flight was not applied: its content is to be written by another one.
+    /// Drops the transaction in flight, which was not applied, and schedules its content to be written by another one.
     fn abort_transaction(&mut self, now: Time) {
         let Some(in_flight) = self.writer.in_flight.take() else {
             return;
@@ -117,13 +119,15 @@
         }
     }
 
-    /// A key of the transaction in flight was read: it was found applied at this revision, or not at all if that is 0.
+    /// Handles the answer to [`AfterTransaction::ReadBack`]: the transaction in flight was applied at this revision or, if
+    /// the revision is 0, not at all.
     pub fn on_read_back(&mut self, revision: u64, now: Time) {
         if revision > 0 {
             self.on_applied(revision, now);
         }
     }
 
+    /// Updates the leader's state after the transaction in flight was applied at this revision.
     fn on_applied(&mut self, revision: u64, now: Time) {
         let Some(in_flight) = self.writer.in_flight.take() else {
             return;
@@ -149,7 +153,7 @@
             self.writer.log.remove(number);
         }
         for index in ends {
-            self.writer.end_is_stored(index);
+            self.writer.on_end_stored(index);
             if let Some(job) = self.jobs.get_mut(&index) {
                 job.end_stored = true;
             }
@@ -160,7 +164,7 @@
         }
     }
 
-    /// An assignment record is stored: tasks that it assigns may be launched.
+    /// Handles that an assignment record is stored: the tasks that the record assigns may be launched.
     fn on_record_stored(&mut self, record: WrittenRecord, now: Time) {
         for logged in record.tasks {
             if let Some(job) = self.jobs.get_mut(&logged.job) {
@@ -175,10 +179,10 @@
         }
     }
 
-    /// A job's record is deleted: the job is forgotten here.
+    /// Removes a job whose records are deleted.
     fn on_job_deleted(&mut self, index: JobIndex) {
-        // A stray attempt may have shown up while this was written: the job is needed until that
-        // is off. Its going once ended the process.
+        // A heartbeat may have reported a stray attempt of the job while the deletion was in flight. The job must stay
+        // until that attempt is released: the release looks up the job, and panics if the job is missing.
         if self
             .jobs
             .get(&index)
--- a/src/leader/write_budget.rs
+++ b/src/leader/write_budget.rs
@@ -1,23 +1,24 @@
-//! The leader's part of the state service's write budget, as a token bucket whose rate follows what the service takes.
+//! The leader's share of the state service's write rate, as a token bucket. The rate of the bucket grows while the service
+//! applies the leader's writes, and falls back when a write fails.
 
 use super::LEADER_WRITE_SHARE;
 use crate::runtime::Time;
 
-/// The largest share of the budget that the leader takes while users don't need it.
+/// The largest share of the service's write rate that the leader uses while users' requests leave it unused.
 const LEADER_WRITE_SHARE_MAX: f64 = 0.85;
-/// Factor by which the share grows with each write that is applied.
+/// Factor by which the leader's share grows with each transaction that is applied.
 const SHARE_GROWTH: f64 = 1.02;
 
-/// How many changes the leader may write now.
+/// A token bucket for the leader's writes; each change takes one token.
 pub(super) struct WriteBudget {
-    /// The part of the service's write rate that the leader uses.
+    /// The share of the service's write rate at which the bucket is refilled.
     share: f64,
     tokens: f64,
     refilled_at: Time,
 }
 
 impl WriteBudget {
-    /// An empty bucket, filled from now on.
+    /// An empty bucket, which is refilled from `now` on.
     pub(super) fn new(now: Time) -> Self {
         WriteBudget {
             share: LEADER_WRITE_SHARE,
@@ -26,7 +27,8 @@
         }
     }
 
-    /// Adds what came since the last refill; `write_rps` is the service's limit in changes a second.
+    /// Adds the tokens of the time since the last refill, up to one second's worth but at least one token. `write_rps` is the service's limit in
+    /// changes per second.
     pub(super) fn refill(&mut self, write_rps: f64, now: Time) {
         let rate = write_rps * self.share;
         let tokens = self.tokens + (now - self.refilled_at) * rate;
@@ -39,22 +41,22 @@
         self.refilled_at
     }
 
-    /// How many changes may be written now.
+    /// The number of changes that may be written now.
     pub(super) fn available(&self) -> usize {
         self.tokens as usize
     }
 
-    /// Takes tokens for changes that are sent.
+    /// Takes the tokens for the changes of a transaction that is sent.
     pub(super) fn spend(&mut self, changes: usize) {
         self.tokens -= changes as f64;
     }
 
-    /// The service applied a write: the leader may use a little more.
+    /// Raises the leader's share, as the service applied a transaction.
     pub(super) fn on_applied(&mut self) {
         self.share = (self.share * SHARE_GROWTH).min(LEADER_WRITE_SHARE_MAX);
     }
 
-    /// The service refused a write, or didn't answer: back to the leader's own share.
+    /// Resets the leader's share to [`LEADER_WRITE_SHARE`], as the service refused a transaction or didn't answer.
     pub(super) fn on_not_applied(&mut self) {
         self.share = LEADER_WRITE_SHARE;
     }
