--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,8 +1,8 @@
 //! The leader's state machine, for one term of leadership. It does no input or output: callers pass in events and the
 //! current time, and carry out the actions that it returns.
 //!
-//! [`Leader`] composes the subsystems (jobs, fleet, scheduler, autoscaler, state writer). The modules below implement the
-//! operations that involve several subsystems.
+//! [`Leader`] composes the subsystems (jobs, fleet, scheduler, autoscaler, state writer). The modules below implement
+//! the operations that involve several subsystems.
 
 mod assignment_writes;
 mod attempt_release;
@@ -45,15 +45,15 @@
     Continue,
     /// Back off, then ask for the next transaction: the same one or, if it was too large, a smaller one.
     Retry,
-    /// Read this key and pass its revision to [`Leader::on_read_back`]: an earlier copy of the transaction seems to have
-    /// been applied.
+    /// Read this key and pass its revision to [`Leader::on_read_back`]: an earlier copy of the transaction seems to
+    /// have been applied.
     ReadBack(String),
     /// Step down: the fencing token is no longer that of the leader.
     LeadershipLost,
 }
 
-/// The state of one term of leadership: the subsystems, each of which owns its own state. The leader passes each of them
-/// the state of the others that its decisions need.
+/// The state of one term of leadership: the subsystems, each of which owns its own state. The leader passes each of
+/// them the state of the others that its decisions need.
 pub struct Leader {
     /// The settings, which don't change during a term.
     pub config: Rc<Config>,
@@ -182,7 +182,8 @@
         self.scheduler.waiting_jobs.remove(&index);
     }
 
-    /// Converts a moment to the time of day, in milliseconds since 1970. None if [`Leader::unix_ms_at_start`] isn't set.
+    /// Converts a moment to the time of day, in milliseconds since 1970. None if [`Leader::unix_ms_at_start`] isn't
+    /// set.
     fn unix_ms(&self, now: Time) -> Option<u64> {
         self.unix_ms_at_start
             .map(|start_ms| start_ms + (now * 1000.0) as u64)
@@ -200,8 +201,8 @@
         self.team_usage.subtract(job.team, job.task_resources());
     }
 
-    /// Returns a new attempt number. No other term uses it: each term counts from its own fencing token, a revision of the
-    /// store, and doesn't exhaust the numbers up to those of the next revision.
+    /// Returns a new attempt number. No other term uses it: each term counts from its own fencing token, a revision of
+    /// the store, and doesn't exhaust the numbers up to those of the next revision.
     pub(crate) fn next_attempt_number(&mut self) -> u64 {
         self.last_attempt_number += 1;
         self.last_attempt_number
--- a/src/leader/assignment_writes.rs
+++ b/src/leader/assignment_writes.rs
@@ -51,7 +51,8 @@
         )
     }
 
-    /// Adds assignment records; the transaction then has at most `changes_max` changes. None if a value can't be serialized.
+    /// Adds assignment records; the transaction then has at most `changes_max` changes. None if a value can't be
+    /// serialized.
     pub(super) fn add_records(
         &mut self,
         draft: &mut DraftTransaction,
@@ -82,8 +83,8 @@
         Some(())
     }
 
-    /// Fills at most `records_max` records with the pending tasks, in the order in which they are due. A further record is
-    /// begun only for tasks that are due now; tasks that are not due yet fill up the last one.
+    /// Fills at most `records_max` records with the pending tasks, in the order in which they are due. A further record
+    /// is begun only for tasks that are due now; tasks that are not due yet fill up the last one.
     fn fill_records(
         &mut self,
         source: &WriteSource<'_>,
@@ -149,8 +150,8 @@
     /// Copies the tasks whose current state only the oldest records hold into a record that is written in any case.
     /// Returns the number of the oldest record that is valid once it is written.
     ///
-    /// The records before that number are deleted by later transactions. The number keeps a deleted record invalid if it
-    /// reappears, as it does when the transaction that wrote it is applied once more.
+    /// The records before that number are deleted by later transactions. The number keeps a deleted record invalid if
+    /// it reappears, as it does when the transaction that wrote it is applied once more.
     fn rewrite_oldest_records(
         &mut self,
         source: &WriteSource<'_>,
--- a/src/leader/attempt_release.rs
+++ b/src/leader/attempt_release.rs
@@ -7,34 +7,39 @@
 use crate::runtime::Time;
 
 impl Leader {
-    /// Releases the attempts that no worker can be running any more because the worker's lease has expired, and attempts on
-    /// silent or unresponsive machines that were never launched.
+    /// Releases the attempts that no worker can be running any more because the worker's lease has expired, and
+    /// attempts on silent or unresponsive machines that were never launched.
     pub(crate) fn expire_leases(&mut self, now: Time) {
-        for (index, key) in self.fleet.expired_attempts(now) {
-            self.release_attempt(index, key, now);
+        for (machine_index, key) in self.fleet.expired_attempts(now) {
+            self.release_attempt(machine_index, key, now);
         }
     }
 
     /// Releases all attempts on a machine that no longer exists, and removes the machine.
-    pub(crate) fn remove_machine(&mut self, index: MachineIndex, now: Time) {
-        let keys: Vec<AttemptKey> = match self.fleet.machines.get(&index) {
+    pub(crate) fn remove_machine(&mut self, machine_index: MachineIndex, now: Time) {
+        let keys: Vec<AttemptKey> = match self.fleet.machines.get(&machine_index) {
             Some(machine) => machine.attempts.keys().copied().collect(),
             None => return,
         };
         for key in keys {
-            self.release_attempt(index, key, now);
+            self.release_attempt(machine_index, key, now);
         }
-        self.fleet.remove(index);
+        self.fleet.remove(machine_index);
         self.request_placement();
     }
 
-    /// Releases an attempt that is certain to be off its machine: frees its resources and, if the task is still assigned to
-    /// that machine as this attempt, makes the task pending again.
-    pub(crate) fn release_attempt(&mut self, index: MachineIndex, key: AttemptKey, now: Time) {
+    /// Releases an attempt that is certain to be off its machine: frees its resources and, if the task is still
+    /// assigned to that machine as this attempt, makes the task pending again.
+    pub(crate) fn release_attempt(
+        &mut self,
+        machine_index: MachineIndex,
+        key: AttemptKey,
+        now: Time,
+    ) {
         let Some(task_attempt) = self
             .fleet
             .machines
-            .get_mut(&index)
+            .get_mut(&machine_index)
             .and_then(|machine| machine.remove_attempt(&key))
         else {
             return;
@@ -45,13 +50,13 @@
             return;
         }
         if matches!(task_attempt.state, None | Some(TaskState::Fetching)) {
-            self.cancel_image_fetch(index, key.job);
+            self.cancel_image_fetch(machine_index, key.job);
         }
         self.release_team(key.job);
         if self.jobs[&key.job].is_gang() {
             self.attribute_gang_failure(key.job);
         }
-        if self.is_current_assignment(index, key) {
+        if self.is_current_assignment(machine_index, key) {
             if let Some(job) = self.jobs.get_mut(&key.job) {
                 job.release(key.task);
             }
@@ -63,16 +68,20 @@
     }
 
     /// Returns whether a task is currently assigned to this machine as this attempt.
-    pub(super) fn is_current_assignment(&self, index: MachineIndex, key: AttemptKey) -> bool {
+    pub(super) fn is_current_assignment(
+        &self,
+        machine_index: MachineIndex,
+        key: AttemptKey,
+    ) -> bool {
         matches!(self.jobs[&key.job].task(key.task),
-            Task::Assigned { machine, attempt, .. } if machine == index && attempt == key.attempt)
+            Task::Assigned { machine, attempt, .. } if machine == machine_index && attempt == key.attempt)
     }
 
-    /// Cancels the fetch of a job's image in the machine's cache, unless another attempt on the machine uses the image. For
-    /// a task that was released before the fetch was complete: the worker cancels the fetch as well.
-    fn cancel_image_fetch(&mut self, index: MachineIndex, job: JobIndex) {
+    /// Cancels the fetch of a job's image in the machine's cache, unless another attempt on the machine uses the image.
+    /// For a task that was released before the fetch was complete: the worker cancels the fetch as well.
+    fn cancel_image_fetch(&mut self, machine_index: MachineIndex, job: JobIndex) {
         let image = &self.jobs[&job].spec.image;
-        if let Some(machine) = self.fleet.machines.get_mut(&index)
+        if let Some(machine) = self.fleet.machines.get_mut(&machine_index)
             && !machine
                 .attempts
                 .keys()
--- a/src/leader/deadline_propagation.rs
+++ b/src/leader/deadline_propagation.rs
@@ -8,9 +8,9 @@
 use std::rc::Rc;
 
 impl Leader {
-    /// Propagates the priority and deadline of these jobs, except those that have ended, to all jobs that they depend on,
-    /// directly or indirectly: a dependency gets at least the priority of its dependent, and must be done by the dependent's
-    /// deadline less the dependent's expected run time.
+    /// Propagates the priority and deadline of these jobs, except those that have ended, to all jobs that they depend
+    /// on, directly or indirectly: a dependency gets at least the priority of its dependent, and must be done by the
+    /// dependent's deadline less the dependent's expected run time.
     pub(super) fn propagate_requirements(&mut self, jobs: impl IntoIterator<Item = JobIndex>) {
         let not_ended: Vec<JobIndex> = jobs
             .into_iter()
--- a/src/leader/direct_commands.rs
+++ b/src/leader/direct_commands.rs
@@ -14,32 +14,34 @@
 const COMMANDS_MAX: usize = 400;
 
 impl Leader {
-    /// Adds the stops and launches that are due to the answer to a worker's periodic heartbeat, unless a newer heartbeat of
-    /// the worker has arrived: the worker may no longer wait for this answer. Returns whether the heartbeat is the newest.
+    /// Adds the stops and launches that are due to the answer to a worker's periodic heartbeat, unless a newer
+    /// heartbeat of the worker has arrived: the worker may no longer wait for this answer. Returns whether the
+    /// heartbeat is the newest.
     pub fn append_reply_commands(
         &mut self,
         heartbeat: &Heartbeat,
         commands: &mut Vec<Command>,
     ) -> bool {
-        let Some(index) = self.fleet.find(&heartbeat.machine) else {
+        let Some(machine_index) = self.fleet.find(&heartbeat.machine) else {
             return false;
         };
-        let machine = self.fleet.machines.get(&index);
+        let machine = self.fleet.machines.get(&machine_index);
         let is_latest = machine.is_some_and(|machine| machine.is_latest_heartbeat(heartbeat));
         if is_latest {
-            self.append_commands(index, HeartbeatOrigin::Periodic, commands);
+            self.append_commands(machine_index, HeartbeatOrigin::Periodic, commands);
         }
         is_latest
     }
 
-    /// Adds the stops and launches that are due at a machine to the answer to its worker's heartbeat or to a direct call.
+    /// Adds the stops and launches that are due at a machine to the answer to its worker's heartbeat or to a direct
+    /// call.
     fn append_commands(
         &mut self,
-        index: MachineIndex,
+        machine_index: MachineIndex,
         origin: HeartbeatOrigin,
         commands: &mut Vec<Command>,
     ) {
-        let Some(machine) = self.fleet.machines.get_mut(&index) else {
+        let Some(machine) = self.fleet.machines.get_mut(&machine_index) else {
             return;
         };
         let may_launch = machine.take_launch_permission(origin, self.fencing_token);
@@ -115,8 +117,8 @@
                 }
             }
             DirectCommandOutcome::NotSent if !unsent.is_empty() => {
-                // The worker can't be reached. The tasks that it was to launch are placed on other machines, and its machine
-                // gets no tasks for a heartbeat interval.
+                // The worker can't be reached. The tasks that it was to launch are placed on other machines, and its
+                // machine gets no tasks for a heartbeat interval.
                 machine.backoff_until = now + self.config.deployment.workers.heartbeat_interval_s;
                 for key in unsent {
                     self.release_attempt(machine_index, key, now);
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Requests the launch of a task whose assignment is stored, by a direct call if the machine's next heartbeat is further
-    /// away than the share [`LAUNCH_WAIT_SHARE`] of the job's start target.
+    /// Requests the launch of a task whose assignment is stored, by a direct call if the machine's next heartbeat is
+    /// further away than the share [`LAUNCH_WAIT_SHARE`] of the job's start target.
     pub(crate) fn on_assignment_stored(&mut self, index: JobIndex, task: u32, now: Time) {
         let Some(job) = self.jobs.get(&index) else {
             return;
@@ -143,10 +145,10 @@
         self.fleet.request_direct_launch(machine, wait_limit_s, now);
     }
 
-    /// Stops the attempts that can save a checkpoint before the cloud preempts their machine, if there is a preemption notice.
-    /// A gang is stopped on all its machines.
-    pub(super) fn stop_before_preemption(&mut self, index: MachineIndex, now: Time) {
-        let Some(machine) = self.fleet.machines.get_mut(&index) else {
+    /// Stops the attempts that can save a checkpoint before the cloud preempts their machine, if there is a preemption
+    /// notice. A gang is stopped on all its machines.
+    pub(super) fn stop_before_preemption(&mut self, machine_index: MachineIndex, now: Time) {
+        let Some(machine) = self.fleet.machines.get_mut(&machine_index) else {
             return;
         };
         let Some(preemption_at) = machine.preemption_at else {
@@ -162,8 +164,8 @@
             {
                 continue;
             }
-            // The cloud may take the machine after half of the notice, so attempts are stopped at once, except those that
-            // can't save within the time that is left.
+            // The cloud may take the machine after half of the notice, so attempts are stopped at once, except those
+            // that can't save within the time that is left.
             if preemption_at - now < spec.save_s {
                 continue;
             }
@@ -175,7 +177,7 @@
             }
         }
         if has_stops {
-            self.fleet.request_direct_call(index);
+            self.fleet.request_direct_call(machine_index);
         }
         for job in gangs {
             let grace_s = self.jobs[&job].spec.save_s;
--- a/src/leader/job_lifecycle.rs
+++ b/src/leader/job_lifecycle.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 
 impl Leader {
-    /// Adds a job from the store, with the state of its tasks from the assignment log. Does nothing if the job is known,
-    /// incomplete or of an unknown team.
+    /// Adds a job from the store, with the state of its tasks from the assignment log. Does nothing if the job is
+    /// known, incomplete or of an unknown team.
     pub fn add_stored_job(&mut self, id: &Rc<str>, stored: &ReplicatedJob, now: Time) {
         if let Some(index) = self.add_job(id, stored, now) {
             self.propagate_requirements([index]);
@@ -116,8 +116,8 @@
         self.on_attempt_added(key.job);
     }
 
-    /// Unblocks a job, as the ends of all its dependencies are stored as done. Ends that this leader has yet to store don't
-    /// unblock a job, as the cancellation of a dependency may be stored before them.
+    /// Unblocks a job, as the ends of all its dependencies are stored as done. Ends that this leader has yet to store
+    /// don't unblock a job, as the cancellation of a dependency may be stored before them.
     pub fn on_ready(&mut self, id: &str, now: Time) {
         let Some(index) = self.job_index(id) else {
             return;
@@ -132,8 +132,8 @@
         self.request_placement();
     }
 
-    /// Ends a job as cancelled, as one of its direct or indirect dependencies is cancelled. The end is stored within the
-    /// leader's write budget.
+    /// Ends a job as cancelled, as one of its direct or indirect dependencies is cancelled. The end is stored within
+    /// the leader's write budget.
     pub fn on_dependency_cancelled(&mut self, id: &str) {
         let has_not_ended =
             |index: &JobIndex| self.jobs.get(index).is_some_and(|job| job.end.is_none());
@@ -162,8 +162,8 @@
         self.mark_if_finished(index);
     }
 
-    /// Stops all attempts of a job, with `grace_s` seconds to save a checkpoint unless an earlier stop allows less. Attempts
-    /// whose launch was never sent are released at once.
+    /// Stops all attempts of a job, with `grace_s` seconds to save a checkpoint unless an earlier stop allows less.
+    /// Attempts whose launch was never sent are released at once.
     pub(crate) fn stop_job(&mut self, index: JobIndex, grace_s: f64, now: Time) {
         let mut unsent = Vec::new();
         for (machine_index, machine) in &mut self.fleet.machines {
@@ -257,8 +257,8 @@
         self.writer.mark_ended(index);
     }
 
-    /// Schedules the deletion of a job's records, except the record of its end, if the job is finished: its end is stored and
-    /// none of its attempts is on a machine.
+    /// Schedules the deletion of a job's records, except the record of its end, if the job is finished: its end is
+    /// stored and none of its attempts is on a machine.
     pub(crate) fn mark_if_finished(&mut self, index: JobIndex) {
         if let Some(job) = self.jobs.get(&index)
             && job.end_stored
--- a/src/leader/reconciliation.rs
+++ b/src/leader/reconciliation.rs
@@ -31,9 +31,9 @@
 }
 
 impl Leader {
-    /// Updates the state from a heartbeat. Returns the stop and forget commands that follow from the heartbeat alone. None if
-    /// the heartbeat isn't newer than all before it: it may be a late copy, and its answer carries none of these commands.
-    /// [`Leader::append_reply_commands`] adds the other commands to the answer to a periodic heartbeat.
+    /// Updates the state from a heartbeat. Returns the stop and forget commands that follow from the heartbeat alone.
+    /// None if the heartbeat isn't newer than all before it: it may be a late copy, and its answer carries none of
+    /// these commands. [`Leader::append_reply_commands`] adds the other commands to the answer to a periodic heartbeat.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -45,30 +45,30 @@
         if self.autoscaler.cloud.is_returned(&heartbeat.machine) {
             return None;
         }
-        let index = self
+        let machine_index = self
             .fleet
             .get_or_insert(&heartbeat.machine, &heartbeat.zone, now);
         let was_schedulable = self
             .fleet
             .machines
-            .get(&index)
+            .get(&machine_index)
             .is_some_and(|machine| self.fleet.is_schedulable(machine, now));
-        let machine = self.fleet.machines.get_mut(&index)?;
+        let machine = self.fleet.machines.get_mut(&machine_index)?;
         let used_and_quarantined_before = (machine.used, machine.quarantined);
         machine.update_description(heartbeat, &self.catalog);
         machine.record_acknowledgement(origin, now);
-        // A heartbeat that isn't newer says nothing about the present state, and its answer carries no commands: the worker
-        // may no longer wait for it.
+        // A heartbeat that isn't newer proves nothing about the present state, and no commands are added to its answer:
+        // the worker may no longer wait for that answer.
         if !machine.is_new_heartbeat(heartbeat) {
             return None;
         }
         machine.record_heartbeat(heartbeat, origin, now);
         let zone = machine.zone.clone();
         self.fleet.zones.record_contact(zone, now);
-        let commands = self.reconcile_attempts(index, heartbeat, origin, now);
-        self.stop_before_preemption(index, now);
+        let commands = self.reconcile_attempts(machine_index, heartbeat, origin, now);
+        self.stop_before_preemption(machine_index, now);
         let rule = self.scheduler.rule;
-        let machine = self.fleet.machines.get_mut(&index)?;
+        let machine = self.fleet.machines.get_mut(&machine_index)?;
         if machine.capacity.cpus > 0.0 {
             machine.price = rule.price_of_load(machine.used.largest_share(machine.capacity));
         }
@@ -79,17 +79,17 @@
         Some(commands)
     }
 
-    /// Compares the attempts on a machine with those that a new heartbeat lists. Returns the stop and forget commands that
-    /// follow from the heartbeat alone.
+    /// Compares the attempts on a machine with those that a new heartbeat lists, and releases the attempts that are gone.
+    /// Returns the stop and forget commands that follow from the heartbeat alone.
     fn reconcile_attempts(
         &mut self,
-        index: MachineIndex,
+        machine_index: MachineIndex,
         heartbeat: &Heartbeat,
         origin: HeartbeatOrigin,
         now: Time,
     ) -> Vec<Command> {
         let fenced = heartbeat.fencing_token >= self.fencing_token;
-        if fenced && let Some(machine) = self.fleet.machines.get_mut(&index) {
+        if fenced && let Some(machine) = self.fleet.machines.get_mut(&machine_index) {
             machine.record_fenced_epoch(heartbeat.agent_epoch);
         }
         let mut listed = HashSet::with_capacity(heartbeat.tasks.len());
@@ -97,12 +97,12 @@
         for reported in &heartbeat.tasks {
             let key = self.attempt_key(reported);
             listed.extend(key);
-            commands.extend(self.on_reported_task(index, reported, key, fenced, now));
+            commands.extend(self.on_reported_task(machine_index, reported, key, fenced, now));
         }
-        let machine = self.fleet.machines.get_mut(&index);
+        let machine = self.fleet.machines.get_mut(&machine_index);
         let gone = machine.map(|machine| machine.gone_attempts(&listed, origin, fenced));
         for key in gone.unwrap_or_default() {
-            self.release_attempt(index, key, now);
+            self.release_attempt(machine_index, key, now);
         }
         commands
     }
@@ -122,7 +122,7 @@
     /// `fenced`: the heartbeat shows this leader's fencing token.
     fn on_reported_task(
         &mut self,
-        index: MachineIndex,
+        machine_index: MachineIndex,
         reported: &TaskStatus,
         key: Option<AttemptKey>,
         fenced: bool,
@@ -134,11 +134,11 @@
         if reported.state == TaskState::Exited {
             let exit_reason = reported.exit_reason.unwrap_or(ExitReason::Other);
             let action = match key {
-                Some(key) => self.on_attempt_exit(index, key, exit_reason, fenced, now),
+                Some(key) => self.on_attempt_exit(machine_index, key, exit_reason, fenced, now),
                 None => ExitedAttemptAction::forget_if(fenced),
             };
             let named = NamedAttempt { task, attempt };
-            let machine = self.fleet.machines.get(&index);
+            let machine = self.fleet.machines.get(&machine_index);
             let may_forget = machine.is_none_or(|machine| machine.may_reap(&named));
             return (action == ExitedAttemptAction::Forget && may_forget).then_some(
                 Command::Forget {
@@ -149,7 +149,7 @@
         }
         match key {
             Some(key) => {
-                self.on_live_attempt(index, key, reported.state, now);
+                self.on_live_attempt(machine_index, key, reported.state, now);
                 None
             }
             // An attempt of a job that has ended and whose records are deleted.
@@ -161,28 +161,28 @@
         }
     }
 
-    /// Returns whether any job has tasks to be placed. The answer to a heartbeat is then held for a short time, so that it can
-    /// carry launches on the machine's free capacity.
+    /// Returns whether any job has tasks to be placed. If so, the controller holds the answer to a heartbeat for a short
+    /// time, so that the answer can carry launches on the machine's free capacity.
     pub fn has_work_waiting(&self) -> bool {
         !self.scheduler.waiting_jobs.is_empty()
     }
 
-    /// Handles the exit of an attempt, and decides what its worker is to do with it. `fenced`: the worker has shown this
-    /// leader's fencing token.
+    /// Handles the exit of an attempt, and decides what its worker is to do with it. `fenced`: the worker has shown
+    /// this leader's fencing token.
     pub(super) fn on_attempt_exit(
         &mut self,
-        index: MachineIndex,
+        machine_index: MachineIndex,
         key: AttemptKey,
         exit_reason: ExitReason,
         fenced: bool,
         now: Time,
     ) -> ExitedAttemptAction {
-        let Some(machine) = self.fleet.machines.get_mut(&index) else {
+        let Some(machine) = self.fleet.machines.get_mut(&machine_index) else {
             return ExitedAttemptAction::KeepReporting;
         };
         let known = machine.attempts.get(&key).cloned();
-        // A former leader may have launched the attempt, and the worker still accepts commands of that leader: a late one
-        // could start the attempt again once the worker has forgotten it.
+        // A former leader may have launched the attempt, and the worker still accepts commands of that leader: a late
+        // one could start the attempt again once the worker has forgotten it.
         if !fenced && known.as_ref().is_none_or(|attempt| attempt.inherited) {
             return ExitedAttemptAction::KeepReporting;
         }
@@ -202,7 +202,7 @@
             return self.on_attempt_completed(key, known, now);
         }
         if known.is_some() {
-            self.on_attempt_failed(index, key, exit_reason, now);
+            self.on_incomplete_exit(machine_index, key, exit_reason, now);
         }
         ExitedAttemptAction::Forget
     }
@@ -226,11 +226,11 @@
         ExitedAttemptAction::forget_if(job.end.is_some() || job.is_completion_stored(key.task))
     }
 
-    /// Handles an attempt that has exited without completing: finds out whether its machine or its job is at fault, and
-    /// releases the attempt.
-    fn on_attempt_failed(
+    /// Handles an attempt that has exited without completing its task: attributes an error to the machine or the job,
+    /// and releases the attempt.
+    fn on_incomplete_exit(
         &mut self,
-        index: MachineIndex,
+        machine_index: MachineIndex,
         key: AttemptKey,
         exit_reason: ExitReason,
         now: Time,
@@ -239,37 +239,37 @@
             exit_reason,
             ExitReason::Error | ExitReason::Other | ExitReason::NoSuchTask
         ) {
-            self.attribute_task_failure(key.job, index, now);
+            self.attribute_task_failure(key.job, machine_index, now);
         }
         if exit_reason == ExitReason::InUse
             && let Some(job) = self.jobs.get_mut(&key.job)
         {
             // Another attempt of the task is on that machine, perhaps one that must not be forgotten.
-            job.failed_machines.insert(index);
+            job.failed_machines.insert(machine_index);
         }
-        self.release_attempt(index, key, now);
+        self.release_attempt(machine_index, key, now);
     }
 
-    /// Handles an attempt that is on a machine and has not exited. The attempt is stopped if its job has ended or its task is
-    /// not assigned to the machine as this attempt.
+    /// Handles an attempt that is on a machine and has not exited. The attempt is stopped if its job has ended or its
+    /// task is not assigned to the machine as this attempt.
     fn on_live_attempt(
         &mut self,
-        index: MachineIndex,
+        machine_index: MachineIndex,
         key: AttemptKey,
         state: TaskState,
         now: Time,
     ) {
         let job = &self.jobs[&key.job];
-        let must_stop = job.end.is_some() || !self.is_current_assignment(index, key);
+        let must_stop = job.end.is_some() || !self.is_current_assignment(machine_index, key);
         let resources = job.task_resources();
-        let Some(machine) = self.fleet.machines.get_mut(&index) else {
+        let Some(machine) = self.fleet.machines.get_mut(&machine_index) else {
             return;
         };
         if !machine.attempts.contains_key(&key) {
             machine.add_attempt(key, TaskAttempt::new(resources, true, now));
             self.on_attempt_added(key.job);
         }
-        let Some(machine) = self.fleet.machines.get_mut(&index) else {
+        let Some(machine) = self.fleet.machines.get_mut(&machine_index) else {
             return;
         };
         let Some(task_attempt) = machine.attempts.get_mut(&key) else {
@@ -292,7 +292,7 @@
                 .observe(&spec.image, spec.image_gb, image_fetched, cache, now);
         }
         if stops_now {
-            self.fleet.request_direct_call(index);
+            self.fleet.request_direct_call(machine_index);
         }
     }
 }
--- a/src/leader/relays.rs
+++ b/src/leader/relays.rs
@@ -8,9 +8,9 @@
 use crate::store::records::{RelayRecord, TaskRange};
 
 impl Leader {
-    /// Handles a delegate's report of tasks that completed, and of agent epochs in which workers have seen this leader's
-    /// fencing token. Both facts stay true whatever happens later, so late and repeated reports do no harm. No worker is
-    /// made to forget an attempt because of a relay.
+    /// Handles a delegate's report of tasks that completed, and of agent epochs in which workers have seen this
+    /// leader's fencing token. Both facts stay true whatever happens later, so late and repeated reports do no harm. No
+    /// worker is made to forget an attempt because of a relay.
     pub fn on_relay(&mut self, record: &RelayRecord, now: Time) {
         if record.fencing_token != self.fencing_token {
             return;
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Handles that the worker of a machine has seen this leader's fencing token in an agent epoch, and releases the attempts
-    /// that are gone by that.
+    /// Handles that the worker of a machine has seen this leader's fencing token in an agent epoch. Releases the
+    /// attempts that can't be on the machine any more because of that.
     fn on_relayed_epoch(&mut self, machine: &str, agent_epoch: u64, now: Time) {
         let Some(index) = self.fleet.find(machine) else {
             return;
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -1,5 +1,5 @@
-//! Scaling of the fleet: provides the autoscaler with its inputs, carries out its decisions, and handles the answers of the
-//! cloud.
+//! Scaling of the fleet: provides the autoscaler with its inputs, carries out its decisions, and handles the answers of
+//! the cloud.
 
 use std::rc::Rc;
 
@@ -13,8 +13,8 @@
 use crate::runtime::Time;
 
 impl Leader {
-    /// Releases attempts whose worker's lease has expired, returns lost machines, and runs the autoscaler's pass if it is due.
-    /// Called periodically.
+    /// Releases attempts whose worker's lease has expired, returns lost machines, and runs the autoscaler's pass if it
+    /// is due. Called periodically.
     pub fn maintain_fleet(&mut self, now: Time) {
         // The end of a machine's or job's backoff is no event, so placement is tried again here.
         self.request_placement();
@@ -27,8 +27,9 @@
         }
     }
 
-    /// Returns machines that count as lost to the cloud: silent, unresponsive, never up, quarantined, or possibly about to run
-    /// a launch in doubt. Also detects partitions of zones, unless the silence may be due to this controller itself.
+    /// Returns to the cloud the machines that count as lost: silent, unresponsive, never up, quarantined, or with a
+    /// launch in doubt for too long. Also detects partitions of zones, unless the machines' silence may be the fault of
+    /// this controller.
     fn return_lost_machines(&mut self, now: Time) {
         let evidence = self.fleet.silence_evidence(now);
         let lost: Vec<MachineIndex> = self
@@ -48,8 +49,8 @@
         }
     }
 
-    /// Decides which machines are needed, preempts for large work that waits, returns surplus machines, and rents those that
-    /// are missing.
+    /// Decides which machines are needed, preempts for large work that waits, returns surplus machines, and rents those
+    /// that are missing.
     fn run_scaling_pass(&mut self, now: Time) {
         let (autoscaler, inputs) = self.autoscaler_with_inputs(now);
         let plan = autoscaler.plan(&inputs);
@@ -127,7 +128,8 @@
     }
 
     /// Stops the attempts on a machine with time to save a checkpoint, so that their tasks continue on other machines.
-    /// Otherwise, when demand falls, a single long task on each of a hundred machines keeps all of them rented for minutes.
+    /// Otherwise, when demand falls, a single long task on each of a hundred machines keeps all of them rented for
+    /// minutes.
     fn evict_gracefully(&mut self, index: MachineIndex) {
         let Some(machine) = self.fleet.machines.get_mut(&index) else {
             return;
--- a/src/leader/scheduling.rs
+++ b/src/leader/scheduling.rs
@@ -8,7 +8,8 @@
 use crate::scheduler::preemption::{PreemptedAttempt, PreemptionRequest, PreemptionStop};
 
 impl Leader {
-    /// Runs a scheduling pass over the waiting jobs, if one is requested. Each task is launched once its assignment is stored.
+    /// Runs a scheduling pass over the waiting jobs, if one is requested. Each task is launched once its assignment is
+    /// stored.
     pub fn schedule(&mut self, now: Time) {
         if !self.take_placement_request() || self.scheduler.waiting_jobs.is_empty() {
             return;
@@ -39,8 +40,8 @@
         self.scheduler.update_image_prevalence(&self.fleet, now);
     }
 
-    /// Preempts small tasks of lower priority on machines that are kept for large work, for a class of large work that waits
-    /// and can't get other machines.
+    /// Preempts small tasks of lower priority on machines that are kept for large work, for a class of large work that
+    /// waits and can't get other machines.
     pub(crate) fn preempt_for_class(
         &mut self,
         class: &JobClass,
@@ -100,8 +101,8 @@
     }
 
     /// Stops preempted attempts: first those that a worker must stop, then those whose launch was never sent. The order
-    /// matters for gangs: the release of a gang's task stops the rest of the gang with a grace period of 0, which a later
-    /// eviction would replace by a longer one.
+    /// matters for gangs: the release of a gang's task stops the rest of the gang with a grace period of 0, which a
+    /// later eviction would replace by a longer one.
     fn stop_preempted(&mut self, preempted: &[PreemptedAttempt], now: Time) {
         for attempt in preempted {
             if let PreemptionStop::Evict { grace_s } = attempt.stop {
--- a/src/leader/state_writer.rs
+++ b/src/leader/state_writer.rs
@@ -66,8 +66,8 @@
     pub(super) finished: BTreeSet<JobIndex>,
     pub(super) in_flight: Option<InFlightTransaction>,
     pub(super) budget: WriteBudget,
-    /// Decides which change is made when the budget allows a single one while both a job's end and an assignment record are
-    /// due: the end if true. Toggled at each such transaction.
+    /// Decides which change is made when the budget allows a single one while both a job's end and an assignment record
+    /// are due: the end if true. Toggled at each such transaction.
     single_change_is_end: bool,
     /// How many times the limits on the size of transactions and values were halved, because the service rejected
     /// transactions within the limits of the settings as too large.
@@ -135,7 +135,8 @@
         self.finished.remove(&index);
     }
 
-    /// Returns the next transaction to send, if one is due. The same transaction is returned until its outcome is known.
+    /// Returns the next transaction to send, if one is due. The same transaction is returned until its outcome is
+    /// known.
     pub(super) fn next_transaction(
         &mut self,
         mut source: WriteSource<'_>,
@@ -161,9 +162,9 @@
         Some(txn)
     }
 
-    /// Builds a transaction of delegations, ends, assignment records and deletions, in this order. `txn_changes_max` is the
-    /// limit on the changes in a transaction, and `changes_max` the same limit reduced to the write budget. None if a value
-    /// can't be serialized.
+    /// Builds a transaction of delegations, ends, assignment records and deletions, in this order. `txn_changes_max` is
+    /// the limit on the changes in a transaction, and `changes_max` the same limit reduced to the write budget. None if
+    /// a value can't be serialized.
     fn draft(
         &mut self,
         source: &mut WriteSource<'_>,
@@ -204,8 +205,8 @@
             .is_some_and(|due_at| due_at <= now);
         if changes_max == 1 && records_due && !self.ends.is_empty() {
             // The budget allows one change and two are due, so they alternate. Otherwise, under a low write limit, the
-            // assignment log uses every write, and the ends of jobs, with the start of the jobs that depend on them, are
-            // delayed by a hundred seconds.
+            // assignment log uses every write, and the ends of jobs, with the start of the jobs that depend on them,
+            // are delayed by a hundred seconds.
             self.single_change_is_end = !self.single_change_is_end;
             return !self.single_change_is_end;
         }
@@ -269,7 +270,8 @@
         }
     }
 
-    /// When the next write is due, if there is any. Writes that are due at once return `immediately`, a moment in the past.
+    /// When the next write is due, if there is any. For a write that is due at once the result is `immediately`, a
+    /// moment in the past.
     pub(super) fn next_write_at(
         &self,
         limits: &StateLimits,
--- a/src/leader/transaction_outcomes.rs
+++ b/src/leader/transaction_outcomes.rs
@@ -1,5 +1,5 @@
-//! The leader's transactions: the next one to send, and the changes of the leader's state that follow from the outcome of
-//! the one in flight.
+//! The leader's transactions: the next one to send, and the changes of the leader's state that follow from the outcome
+//! of the one in flight.
 
 use std::rc::Rc;
 
@@ -27,7 +27,8 @@
             .mark_pending(index, task, urgency, heartbeat_interval_s, now);
     }
 
-    /// Returns the next transaction to send, if one is due. The same transaction is returned until its outcome is known.
+    /// Returns the next transaction to send, if one is due. The same transaction is returned until its outcome is
+    /// known.
     pub fn next_transaction(&mut self, now: Time) -> Option<Rc<Txn>> {
         let unix_ms = self.unix_ms(now);
         let source = WriteSource {
@@ -40,7 +41,8 @@
         self.writer.next_transaction(source, now)
     }
 
-    /// When the next write is due, if there is any. Writes that are due at once return a moment in the past.
+    /// When the next write is due, if there is any. For a write that is due at once the result is a moment in the
+    /// past.
     pub fn next_write_at(&self) -> Option<Time> {
         let limits = &self.config.deployment.state;
         let has_delegations = self.fleet.zones.has_pending_write();
@@ -74,8 +76,8 @@
         }
     }
 
-    /// Handles failed conditions of the transaction in flight: this copy of it was not applied, but an earlier copy may have
-    /// been.
+    /// Handles failed conditions of the transaction in flight: this copy of it was not applied, but an earlier copy may
+    /// have been.
     fn on_conflict(&mut self, failed_keys: &[String], now: Time) -> AfterTransaction {
         if failed_keys.contains(&keys::leader()) {
             return AfterTransaction::LeadershipLost;
@@ -119,8 +121,8 @@
         }
     }
 
-    /// Handles the answer to [`AfterTransaction::ReadBack`]: the transaction in flight was applied at this revision or, if
-    /// the revision is 0, not at all.
+    /// Handles the answer to [`AfterTransaction::ReadBack`]: the transaction in flight was applied at this revision or,
+    /// if the revision is 0, not at all.
     pub fn on_read_back(&mut self, revision: u64, now: Time) {
         if revision > 0 {
             self.on_applied(revision, now);
