--- a/src/leader.rs
+++ b/src/leader.rs
@@ -105,6 +105,7 @@
             fleet: Fleet::new(
                 config.clone(),
                 fencing_token,
+                // The keys of former leaders' delegations and of deleted jobs' dependencies are obsolete.
                 ZoneMonitor::new(
                     replica
                         .delegations
@@ -201,8 +202,8 @@
         self.team_usage.subtract(job.team, job.task_resources());
     }
 
-    /// Returns a new attempt number. No other term uses it: each term counts from its own fencing token, a revision of
-    /// the store, and doesn't exhaust the numbers up to those of the next revision.
+    /// Returns a new attempt number. No other term uses it: the high bits are the term's own fencing token, a revision
+    /// of the store, and no term uses up the numbers that the [`ATTEMPT_COUNTER_BITS`] low bits can count.
     pub(crate) fn next_attempt_number(&mut self) -> u64 {
         self.last_attempt_number += 1;
         self.last_attempt_number
--- a/src/leader/assignment_writes.rs
+++ b/src/leader/assignment_writes.rs
@@ -12,7 +12,8 @@
 use crate::store::keys;
 use crate::store::transaction::put_change;
 
-/// Interval between transactions with assignment records, as a number of writes at [`LEADER_WRITE_SHARE`].
+/// Minimum interval between two transactions with assignment records: the time in which the leader may make this many
+/// writes at [`LEADER_WRITE_SHARE`] of the service's write rate.
 const WRITES_PER_RECORD: f64 = 3.0;
 /// Maximum number of old assignment records whose content one transaction rewrites.
 const REWRITTEN_RECORDS_MAX: usize = 4;
--- a/src/leader/attempt_release.rs
+++ b/src/leader/attempt_release.rs
@@ -7,8 +7,8 @@
 use crate::runtime::Time;
 
 impl Leader {
-    /// Releases the attempts that no worker can be running any more because the worker's lease has expired, and
-    /// attempts on silent or unresponsive machines that were never launched.
+    /// Releases all attempts on machines whose worker's lease has expired, as the worker can't be running them any
+    /// more. On machines that are overdue or unresponsive, releases the attempts that were never launched.
     pub(crate) fn expire_leases(&mut self, now: Time) {
         for (machine_index, key) in self.fleet.expired_attempts(now) {
             self.release_attempt(machine_index, key, now);
@@ -77,8 +77,8 @@
             Task::Assigned { machine, attempt, .. } if machine == machine_index && attempt == key.attempt)
     }
 
-    /// Cancels the fetch of a job's image in the machine's cache, unless another attempt on the machine uses the image.
-    /// For a task that was released before the fetch was complete: the worker cancels the fetch as well.
+    /// Cancels the fetch of a job's image in the leader's model of the machine's cache, unless another attempt on the
+    /// machine uses the image. The worker cancels a fetch that none of its tasks needs any more, too.
     fn cancel_image_fetch(&mut self, machine_index: MachineIndex, job: JobIndex) {
         let image = &self.jobs[&job].spec.image;
         if let Some(machine) = self.fleet.machines.get_mut(&machine_index)
--- a/src/leader/direct_commands.rs
+++ b/src/leader/direct_commands.rs
@@ -14,9 +14,9 @@
 const COMMANDS_MAX: usize = 400;
 
 impl Leader {
-    /// Adds the stops and launches that are due to the answer to a worker's periodic heartbeat, unless a newer
-    /// heartbeat of the worker has arrived: the worker may no longer wait for this answer. Returns whether the
-    /// heartbeat is the newest.
+    /// Adds the pending stops and launches to the answer to a worker's periodic heartbeat, unless a newer heartbeat of
+    /// the worker has arrived: the worker may no longer wait for this answer. Returns whether the heartbeat is the
+    /// newest.
     pub fn append_reply_commands(
         &mut self,
         heartbeat: &Heartbeat,
@@ -33,8 +33,7 @@
         is_latest
     }
 
-    /// Adds the stops and launches that are due at a machine to the answer to its worker's heartbeat or to a direct
-    /// call.
+    /// Adds the pending stops and launches of a machine to the answer to its worker's heartbeat or to a direct call.
     fn append_commands(
         &mut self,
         machine_index: MachineIndex,
@@ -164,8 +163,9 @@
             {
                 continue;
             }
-            // The cloud may take the machine after half of the notice, so attempts are stopped at once, except those
-            // that can't save within the time that is left.
+            // The cloud takes the machine after half to one and a half times the announced time. Attempts are therefore
+            // stopped at once, each with its own time to save. An attempt that needs longer to save than the announced
+            // time is not stopped. One that needs more than half of it is stopped, although the save may be cut off.
             if preemption_at - now < spec.save_s {
                 continue;
             }
--- a/src/leader/failure_attribution.rs
+++ b/src/leader/failure_attribution.rs
@@ -14,15 +14,15 @@
 const MACHINE_FAULT_JOBS: usize = 2;
 /// A machine is also quarantined after this many failures in a row, if the job that fails does so on no other machine.
 const MACHINE_FAULT_FAILURES: u32 = 3;
-/// A machine is at fault, and not the job, once this many tasks of an array have completed, or if at most one in this
-/// many tasks of a gang failed.
+/// The machine of a failed task is at fault, and not the job, once this many other tasks of the same array have
+/// completed, or if at most one in this many tasks of the gang failed.
 const COMPLETED_PER_FAILED: u32 = 3;
 /// Backoff of a machine for each failure in a row, in heartbeat intervals.
 const MACHINE_BACKOFF_HEARTBEATS: f64 = 2.0;
 
 impl Leader {
-    /// Decides whether the machine or the job is at fault for a task that failed. The job backs off; the machine backs
-    /// off or is quarantined.
+    /// Decides whether the machine or the job is at fault for a task that failed, and backs off the job, or backs off
+    /// or quarantines the machine.
     pub(crate) fn attribute_task_failure(
         &mut self,
         index: JobIndex,
@@ -67,8 +67,8 @@
     }
 
     /// Attributes the failure of a gang's attempt, once all tasks of the attempt are off their machines. If few of them
-    /// failed and the others only lost their peers, the machines of those few are at fault and are quarantined:
-    /// otherwise each of them makes one large gang after another fail.
+    /// failed and the others only lost their peers, the machines of those few are at fault. They are quarantined, as
+    /// each of them would make one large gang after another fail.
     pub(crate) fn attribute_gang_failure(&mut self, index: JobIndex) {
         let Some(job) = self
             .jobs
--- a/src/leader/job_lifecycle.rs
+++ b/src/leader/job_lifecycle.rs
@@ -10,15 +10,15 @@
 use std::rc::Rc;
 
 impl Leader {
-    /// Adds a job from the store, with the state of its tasks from the assignment log. Does nothing if the job is
-    /// known, incomplete or of an unknown team.
+    /// Adds a job from the store, with the state of its tasks from the assignment log. Does nothing if the leader has
+    /// the job already, or if the job has no stored submission or is of a team that isn't in the settings.
     pub fn add_stored_job(&mut self, id: &Rc<str>, stored: &ReplicatedJob, now: Time) {
         if let Some(index) = self.add_job(id, stored, now) {
             self.propagate_requirements([index]);
         }
     }
 
-    /// Adds a job without propagating its requirements. None if the job is known, incomplete or of an unknown team.
+    /// As [`Leader::add_stored_job`], without propagating the job's requirements. None if the job is not added.
     pub(super) fn add_job(
         &mut self,
         id: &Rc<str>,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Handles a job's end that any controller has stored.
+    /// Handles the stored end of a job, whichever controller wrote it.
     pub fn on_end(&mut self, id: &str, end: &EndRecord, now: Time) {
         let Some(index) = self.job_index(id) else {
             return;
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Adds a job to those with tasks to be placed, if it has pending tasks and may run.
+    /// Adds a job to those with tasks to be placed, if it has pending tasks and is neither ended nor blocked.
     pub(crate) fn enqueue_if_pending(&mut self, index: JobIndex) {
         let job = &self.jobs[&index];
         if job.end.is_none() && !job.is_blocked && job.pending_tasks() > 0 {
@@ -276,7 +276,8 @@
         }
     }
 
-    /// Counts an attempt of a job that is or may be on a machine, and charges its team.
+    /// Counts an attempt of a job that is or may be on a machine, charges the job's team, and cancels the deletion of
+    /// the job's records if it is scheduled.
     pub(crate) fn on_attempt_added(&mut self, index: JobIndex) {
         if let Some(job) = self.jobs.get_mut(&index) {
             job.live_attempts += 1;
@@ -285,8 +286,8 @@
         self.charge_team(index);
     }
 
-    /// Counts that an attempt of a job is off its machine. The team's usage is released separately, as an attempt that
-    /// completed uses no resources any more.
+    /// Decrements the number of a job's attempts on machines. The team's usage is released separately: for an attempt
+    /// that completed, at its completion, as it uses no resources any more from then on.
     pub(crate) fn on_attempt_removed(&mut self, index: JobIndex) {
         if let Some(job) = self.jobs.get_mut(&index) {
             job.live_attempts = job.live_attempts.saturating_sub(1);
--- a/src/leader/pending_transaction.rs
+++ b/src/leader/pending_transaction.rs
@@ -21,8 +21,8 @@
 pub(super) struct TransactionContent {
     /// The assignment records that the transaction writes.
     pub(super) records: Vec<WrittenRecord>,
-    /// The number of the oldest assignment record that is valid once the transaction is applied. None if the
-    /// transaction writes no assignment record.
+    /// The number of the oldest assignment record that is valid once the transaction is applied. None if no assignment
+    /// records were due.
     pub(super) oldest_valid: Option<u64>,
     /// Numbers of the invalid assignment records that the transaction deletes.
     pub(super) deleted_records: Vec<u64>,
--- a/src/leader/reconciliation.rs
+++ b/src/leader/reconciliation.rs
@@ -32,16 +32,16 @@
 
 impl Leader {
     /// Updates the state from a heartbeat. Returns the stop and forget commands that follow from the heartbeat alone.
-    /// None if the heartbeat isn't newer than all before it: it may be a late copy, and its answer carries none of
-    /// these commands. [`Leader::append_reply_commands`] adds the other commands to the answer to a periodic heartbeat.
+    /// None if the heartbeat isn't newer than all before it, as it may be a late copy, or if the machine's return is
+    /// confirmed. [`Leader::append_reply_commands`] adds the other commands to the answer to a periodic heartbeat.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         origin: HeartbeatOrigin,
         now: Time,
     ) -> Option<Vec<Command>> {
-        // The cloud has confirmed the return of this machine, so the heartbeat was delayed in the network. Adding the
-        // machine again would only lead to another return.
+        // The cloud has confirmed the return of this machine: the machine is gone, and the heartbeat was delayed in the
+        // network. Adding the machine again would only lead to another return.
         if self.autoscaler.cloud.is_returned(&heartbeat.machine) {
             return None;
         }
@@ -57,8 +57,8 @@
         let used_and_quarantined_before = (machine.used, machine.quarantined);
         machine.update_description(heartbeat, &self.catalog);
         machine.record_acknowledgement(origin, now);
-        // A heartbeat that isn't newer proves nothing about the present state, and no commands are added to its answer:
-        // the worker may no longer wait for that answer.
+        // A heartbeat that isn't newer proves nothing about the present state, and no commands follow from it: the
+        // worker may no longer wait for the answer.
         if !machine.is_new_heartbeat(heartbeat) {
             return None;
         }
@@ -79,8 +79,8 @@
         Some(commands)
     }
 
-    /// Compares the attempts on a machine with those that a new heartbeat lists, and releases the attempts that are gone.
-    /// Returns the stop and forget commands that follow from the heartbeat alone.
+    /// Compares the attempts on a machine with those that a new heartbeat lists, and releases the attempts that are
+    /// gone. Returns the stop and forget commands that follow from the heartbeat alone.
     fn reconcile_attempts(
         &mut self,
         machine_index: MachineIndex,
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Returns whether any job has tasks to be placed. If so, the controller holds the answer to a heartbeat for a short
-    /// time, so that the answer can carry launches on the machine's free capacity.
+    /// Returns whether any job has tasks to be placed. If so, the controller holds the answer to a heartbeat for a
+    /// short time, so that the answer can carry launches on the machine's free capacity.
     pub fn has_work_waiting(&self) -> bool {
         !self.scheduler.waiting_jobs.is_empty()
     }
@@ -207,7 +207,8 @@
         ExitedAttemptAction::Forget
     }
 
-    /// Handles an attempt that has completed. `known` is the state of the attempt before this report, if there was one.
+    /// Handles an attempt that has completed. `known` is the state of the attempt before this report; None if the
+    /// attempt was not known to be on the machine.
     fn on_attempt_completed(
         &mut self,
         key: AttemptKey,
@@ -244,7 +245,8 @@
         if exit_reason == ExitReason::InUse
             && let Some(job) = self.jobs.get_mut(&key.job)
         {
-            // Another attempt of the task is on that machine, perhaps one that must not be forgotten.
+            // Another attempt of the task is on that machine, perhaps one that must not be forgotten: the job is placed
+            // on other machines if there are any.
             job.failed_machines.insert(machine_index);
         }
         self.release_attempt(machine_index, key, now);
--- a/src/leader/relays.rs
+++ b/src/leader/relays.rs
@@ -21,12 +21,12 @@
         for (machine, agent_epoch) in &record.agent_epochs {
             self.on_relayed_epoch(machine, *agent_epoch, now);
         }
-        for log in &record.jobs {
-            let Some(index) = self.job_index(&log.id) else {
+        for relayed in &record.jobs {
+            let Some(index) = self.job_index(&relayed.id) else {
                 continue;
             };
-            for range in &log.done {
-                self.on_relayed_completions(index, log.attempt, *range, now);
+            for range in &relayed.done {
+                self.on_relayed_completions(index, relayed.attempt, *range, now);
             }
         }
     }
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -27,9 +27,9 @@
         }
     }
 
-    /// Returns to the cloud the machines that count as lost: silent, unresponsive, never up, quarantined, or with a
-    /// launch in doubt for too long. Also detects partitions of zones, unless the machines' silence may be the fault of
-    /// this controller.
+    /// Returns to the cloud the machines that count as lost: silent, unresponsive, quarantined, never in contact, or
+    /// with a launch in doubt for too long. Also detects partitions of zones, unless the machines' silence may be the
+    /// fault of this controller.
     fn return_lost_machines(&mut self, now: Time) {
         let evidence = self.fleet.silence_evidence(now);
         let lost: Vec<MachineIndex> = self
@@ -82,7 +82,7 @@
         (&mut self.autoscaler, inputs)
     }
 
-    /// Sets the role of each machine that the plan keeps for large or shared work.
+    /// Sets the role of each machine that the plan keeps for large or shared work, and ends the machine's draining.
     fn assign_roles(&mut self, units: &[CapacityUnit]) {
         for unit in units {
             let Some(role) = unit.planned_role else {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Drains and returns machines that have been surplus for some time.
+    /// Records which machines are surplus, and drains, evicts or returns those that have been surplus for some time.
     fn scale_in(&mut self, units: &[CapacityUnit], now: Time) {
         let (_, inputs) = self.autoscaler_with_inputs(now);
         let plan = inputs.scale_in_plan(units);
@@ -153,7 +153,8 @@
         cloud.return_machine(index, reason, &mut self.fleet);
     }
 
-    /// Returns the next call to the cloud, if one is due. Rentals and returns are repeated until they are answered.
+    /// Returns the next call to the cloud, if one is due. A rental is repeated until the cloud grants it or has no
+    /// capacity, and a return until the cloud confirms it.
     pub fn next_cloud_call(&mut self, now: Time) -> Option<CloudCall> {
         let cloud = &mut self.autoscaler.cloud;
         cloud.next_call(&self.config.deployment, &self.fleet, now)
@@ -201,7 +202,7 @@
         self.autoscaler.cloud.record_returned(name.into());
     }
 
-    /// Records the arrival of a job for the forecast of demand.
+    /// Adds a job to its class, from which the autoscaler computes demand, and makes the next scaling pass due.
     pub(crate) fn record_arrival(&mut self, index: JobIndex) {
         self.autoscaler.record_arrival(&self.jobs[&index].spec);
     }
--- a/src/leader/scheduling.rs
+++ b/src/leader/scheduling.rs
@@ -40,8 +40,9 @@
         self.scheduler.update_image_prevalence(&self.fleet, now);
     }
 
-    /// Preempts small tasks of lower priority on machines that are kept for large work, for a class of large work that
-    /// waits and can't get other machines.
+    /// Preempts small tasks for a class of large work that waits, on machines that the scaling plan keeps for large
+    /// work: on as many as there are waiting tasks without a free machine, and only where all tasks are of lower
+    /// priority.
     pub(crate) fn preempt_for_class(
         &mut self,
         class: &JobClass,
--- a/src/leader/state_writer.rs
+++ b/src/leader/state_writer.rs
@@ -26,12 +26,13 @@
 /// Lower bound of the limit on the changes in a transaction, however often the limit is halved.
 const TXN_OPS_MIN: usize = 2;
 
-/// How soon a change must be written.
+/// When the write of a task's state is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteUrgency {
-    /// In the next transaction, as other work waits for the write.
+    /// At once, as other work waits for the write.
     Immediate,
-    /// Within [`BATCHED_WRITE_DELAY_HEARTBEATS`], together with the changes that arrive meanwhile.
+    /// After [`BATCHED_WRITE_DELAY_HEARTBEATS`], so that tasks that change meanwhile are written together with this
+    /// one.
     Batched,
 }
 
@@ -66,11 +67,11 @@
     pub(super) finished: BTreeSet<JobIndex>,
     pub(super) in_flight: Option<InFlightTransaction>,
     pub(super) budget: WriteBudget,
-    /// Decides which change is made when the budget allows a single one while both a job's end and an assignment record
-    /// are due: the end if true. Toggled at each such transaction.
+    /// When the budget allows a single change, but both a job's end and an assignment record are due, the two
+    /// alternate. True if the end was chosen last.
     single_change_is_end: bool,
     /// How many times the limits on the size of transactions and values were halved, because the service rejected
-    /// transactions within the limits of the settings as too large.
+    /// transactions as too large although they were within the limits of the settings.
     pub(super) limit_halvings: u32,
 }
 
@@ -270,25 +271,26 @@
         }
     }
 
-    /// When the next write is due, if there is any. For a write that is due at once the result is `immediately`, a
-    /// moment in the past.
+    /// When the next write is due, if there is any. `past`, any moment in the past, is returned for a write that is due
+    /// at once.
     pub(super) fn next_write_at(
         &self,
         limits: &StateLimits,
         has_delegations: bool,
-        immediately: Time,
+        past: Time,
     ) -> Option<Time> {
         if !self.ends.is_empty() || has_delegations {
-            return Some(immediately);
+            return Some(past);
         }
         match self.records_due_at(limits) {
+            // Only deletions are pending, which are not urgent: they are tried a second after the last refill.
             None if !self.finished.is_empty() => Some(self.budget.refilled_at() + 1.0),
             records_due_at => records_due_at,
         }
     }
 
-    /// Halves the size of transactions and values written from now on, as the service rejected a transaction within the
-    /// limits of its settings as too large.
+    /// Halves the limits on the size of transactions and values written from now on, as the service rejected a
+    /// transaction as too large although it was within the limits of the settings.
     pub(super) fn halve_limits(&mut self) {
         self.limit_halvings = (self.limit_halvings + 1).min(LIMIT_HALVINGS_MAX);
     }
--- a/src/leader/transaction_outcomes.rs
+++ b/src/leader/transaction_outcomes.rs
@@ -97,7 +97,8 @@
             // refused every copy that this leader knows of. Reading the key back avoids a needless resignation.
             return AfterTransaction::ReadBack(own_key.clone());
         }
-        // A user's cancellation or an earlier copy of this transaction stored the ends; the replica will show which.
+        // A user's cancellation or an earlier copy of this transaction stored these ends; the replica will show how the
+        // jobs ended.
         for (index, key) in ends {
             if failed_keys.contains(&key) {
                 self.writer.on_end_stored(index);
@@ -107,7 +108,9 @@
         AfterTransaction::Continue
     }
 
-    /// Drops the transaction in flight, which was not applied, and schedules its content to be written by another one.
+    /// Drops the transaction in flight, which was not applied, and schedules its delegations and tasks to be written by
+    /// another one. Ends and deletions of records are pending until they are applied. Deletions of obsolete keys are
+    /// not repeated in this term: the next leader finds these keys in its replica.
     fn abort_transaction(&mut self, now: Time) {
         let Some(in_flight) = self.writer.in_flight.take() else {
             return;
@@ -122,7 +125,7 @@
     }
 
     /// Handles the answer to [`AfterTransaction::ReadBack`]: the transaction in flight was applied at this revision or,
-    /// if the revision is 0, not at all.
+    /// if the revision is 0, not at all. In that case it stays in flight and is sent again.
     pub fn on_read_back(&mut self, revision: u64, now: Time) {
         if revision > 0 {
             self.on_applied(revision, now);
--- a/src/leader/write_budget.rs
+++ b/src/leader/write_budget.rs
@@ -1,5 +1,5 @@
 //! The leader's share of the state service's write rate, as a token bucket. The rate of the bucket grows while the
-//! service applies the leader's writes, and falls back when a write fails.
+//! service applies the leader's writes, and falls back when the service refuses a write or doesn't answer.
 
 use super::LEADER_WRITE_SHARE;
 use crate::runtime::Time;
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Adds the tokens of the time since the last refill, up to one second's worth but at least one token. `write_rps`
-    /// is the service's limit in changes per second.
+    /// Adds the tokens of the time since the last refill. The bucket holds at most the tokens of one second, or one
+    /// token if that is more. `write_rps` is the service's limit in changes per second.
     pub(super) fn refill(&mut self, write_rps: f64, now: Time) {
         let rate = write_rps * self.share;
         let tokens = self.tokens + (now - self.refilled_at) * rate;
