--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,10 +1,10 @@
-//! The scheduler: in which order waiting jobs are placed, and which machines their tasks are assigned to.
+//! The scheduler: decides in which order waiting jobs are placed and to which machines their tasks are assigned.
 //!
-//! A [`SchedulingPass`](pass::SchedulingPass) goes over the waiting jobs in [`order`], each placed as a job array
-//! ([`arrays`]) or as a gang ([`gangs`]). It reads the leader's state through a
-//! [`SchedulingView`](pass::SchedulingView) and returns assignments, which the leader makes before the next job is
-//! placed, and launches once they are stored. Which of the allowed machines ([`candidates`]) a task gets is decided by
-//! the pricing rule ([`pricing`], [`candidate_queue`]).
+//! A [`SchedulingPass`](pass::SchedulingPass) visits the waiting jobs in the order of [`order`] and places each as a
+//! job array ([`arrays`]) or as a gang ([`gangs`]). It reads the leader's state through a
+//! [`SchedulingView`](pass::SchedulingView) and returns assignments. The leader carries them out before the next job is
+//! placed, and launches them once they are stored. The pricing rule ([`pricing`], [`candidate_queue`]) decides which of
+//! the allowed machines ([`candidates`]) a task gets.
 
 mod arrays;
 pub(crate) mod candidate_queue;
@@ -27,22 +27,23 @@
 use crate::scheduler::image_locality::ImagePrevalence;
 use crate::scheduler::pricing::PricingRule;
 
-/// Seconds within which the largest jobs should start: the users' objective for them.
+/// The users' objective for the largest jobs: they should start within this many seconds of being ready.
 pub(crate) const LARGE_JOB_START_TARGET_S: f64 = 240.0;
 
-/// What the scheduler keeps between its passes.
+/// The scheduler's state between passes.
 pub(crate) struct Scheduler {
+    /// Decides which machine a task gets.
     pub(crate) rule: PricingRule,
-    /// Jobs that have tasks waiting to be placed.
+    /// Jobs that have pending tasks.
     pub(crate) waiting_jobs: BTreeSet<JobIndex>,
-    /// Something changed that a scheduling pass should look at.
+    /// Whether a scheduling pass should run because of a change since the last one.
     pub(crate) placement_requested: bool,
-    /// On how many of the schedulable machines each image is, as of the last update.
+    /// The fraction of the schedulable machines that have or fetch each image, as of the last update.
     pub(crate) image_prevalence: ImagePrevalence,
 }
 
 impl Scheduler {
-    /// A scheduler without waiting jobs; a first pass is requested.
+    /// Creates a scheduler without waiting jobs and requests a first pass.
     pub(crate) fn new(tunables: &Tunables) -> Self {
         Scheduler {
             rule: PricingRule::new(tunables.rho, tunables.large_share),
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Counts anew on how many of the schedulable machines each image is.
+    /// Recomputes [`Scheduler::image_prevalence`] from the fleet.
     pub(crate) fn update_image_prevalence(&mut self, fleet: &Fleet, now: Time) {
         self.image_prevalence = ImagePrevalence::count(fleet, now);
     }
--- a/src/scheduler/arrays.rs
+++ b/src/scheduler/arrays.rs
@@ -1,18 +1,18 @@
-//! Placement of job arrays: as many of the tasks as find room.
+//! Placement of job arrays: as many of the pending tasks as possible are placed.
 
 use crate::fleet::MachineRole;
 use crate::fleet::machine_catalog::is_type_allowed;
 use crate::jobs::{Job, JobIndex};
 use crate::scheduler::candidates::CandidateMachine;
-use crate::scheduler::pass::{Assignment, Placement, SchedulingView, Shortfall};
+use crate::scheduler::pass::{Assignment, Placement, SchedulingView, UnplacedReason};
 use crate::scheduler::zone_constraint::ZoneConstraint;
 
-/// Gaps are reserved for tasks that take at most this share of a machine: others would leave too much of it unused for
-/// too long.
+/// The largest dominant share of a machine for which a gap is reserved there: a reservation for a larger task would
+/// leave too much of the machine unused for too long.
 const GAP_TASK_SHARE_MAX: f64 = 0.125;
 
 impl SchedulingView<'_> {
-    /// Places what it can of an array's pending tasks.
+    /// Chooses machines for as many of an array's pending tasks as possible, within its team's limit.
     pub(super) fn place_array(
         &self,
         index: JobIndex,
@@ -25,20 +25,21 @@
         let mut queue = self.candidate_queue(job, candidates, |_| true);
         let mut placement = Placement::default();
         for _ in 0..job.pending_tasks() {
-            if !self.is_within_quota(&usage, job.team, resources) {
+            if !self.is_within_team_limit(&usage, job.team, resources) {
                 return placement;
             }
-            let Some(selection) = queue.pop(|at| zones.allows(&candidates[at].zone)) else {
-                placement.shortfall = Some(if queue.has_omissions() {
-                    Shortfall::ImageTooFar
+            let is_zone_allowed = |index: usize| zones.allows(&candidates[index].zone);
+            let Some(selection) = queue.select_next(is_zone_allowed) else {
+                placement.unplaced_reason = Some(if queue.has_slow_fetch() {
+                    UnplacedReason::ImageFetchTooSlow
                 } else {
-                    Shortfall::NoRoom
+                    UnplacedReason::NoCapacity
                 });
                 return placement;
             };
-            let candidate = &mut candidates[selection.candidate];
+            let candidate = &mut candidates[selection.candidate_index];
             candidate.load = selection.load_after;
-            zones.add(&candidate.zone);
+            zones.add_task(&candidate.zone);
             usage.add(job.team, resources);
             placement.assignments.push(Assignment {
                 machine: candidate.machine,
@@ -48,20 +49,22 @@
         placement
     }
 
-    /// Reserves machines whose free resources are too little for a task that waits, against all that comes later in
-    /// this pass: as many machines as there are such tasks. Small tasks once took each gap that came free on a full
-    /// fleet, and urgent ones that take a little more waited for minutes.
+    /// Reserves the gap on one shared machine for each task of a job that could not be placed: later jobs of this pass
+    /// don't get the free capacity of these machines, so that it can grow until a task fits.
+    ///
+    /// Without the reservation, small tasks take each gap as soon as it is free on a full fleet, and urgent tasks that
+    /// need slightly more wait for minutes.
     pub(super) fn reserve_gaps(
         &self,
         job: &Job,
-        waiting_tasks: u32,
+        unplaced_tasks: u32,
         candidates: &mut [CandidateMachine],
     ) {
         let spec = &job.spec;
         let resources = job.task_resources();
-        let mut left = waiting_tasks;
+        let mut gaps_to_reserve = unplaced_tasks;
         for candidate in candidates.iter_mut() {
-            if left == 0 {
+            if gaps_to_reserve == 0 {
                 return;
             }
             let share = resources.largest_share(candidate.load.capacity);
@@ -72,7 +75,7 @@
                 && candidate.role == MachineRole::Shared
             {
                 candidate.reserved = true;
-                left -= 1;
+                gaps_to_reserve -= 1;
             }
         }
     }
--- a/src/scheduler/candidate_queue.rs
+++ b/src/scheduler/candidate_queue.rs
@@ -1,7 +1,7 @@
 //! Selects machines for the tasks of a job, one after the other, by the pricing rule (bin packing).
 //!
-//! Looking at all machines for each task takes the leader's whole processor share at some thousand machines. Here they
-//! are looked at once for each job, and a task costs no more than updating the machine that it goes to.
+//! With some thousand machines, a scan of all of them for each task would use up the leader's CPU share. The queue
+//! scans them once for each job; each task then costs little more than the update of the machine that it goes to.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -9,35 +9,36 @@
 use crate::resources::Resources;
 use crate::scheduler::pricing::{MachineLoad, PricingRule};
 
-/// Which machines come before which, whatever their prices: the lowest first, by the fields in this order.
+/// The tier of a machine. Tiers take precedence over prices: the lowest comes first, by the fields in this order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CandidateTier {
-    /// A spot machine, for a job that has no time to lose a task with it.
-    pub revocable: bool,
-    /// How far the task's image is, in steps of [`ImageDistance`](super::image_locality::ImageDistance).
-    pub image_distance: u8,
-    /// A machine kept for large work, lent to a small task.
+    /// Whether the machine is a spot machine that the job avoids: a step of a chain with a deadline has no time to
+    /// repeat a task that is lost with the machine.
+    pub avoided_spot: bool,
+    /// How long the next task waits for its image, see [`ImageWaitLevels`](super::image_locality::ImageWaitLevels).
+    pub image_wait_level: u8,
+    /// Whether the machine is kept for large tasks and lent to a small one.
     pub borrowed: bool,
 }
 
-/// Machines whose CPU costs at most so many times that of the cheapest of their tier count as equally cheap.
+/// Machines count as equally cheap if their price per CPU is at most this multiple of the lowest in their tier.
 const PRICE_TOLERANCE_RATIO: f64 = 1.6;
 
 /// A machine in the queue.
 #[derive(Debug, Clone, Copy)]
 struct RankedCandidate {
-    /// By the pricing rule: the lowest comes first.
+    /// Rank by the pricing rule: the lowest is selected first.
     rank: f64,
-    candidate: usize,
-    distance_once_requested: u8,
+    candidate_index: usize,
+    wait_level_once_requested: u8,
     load: MachineLoad,
 }
 
 impl Ord for RankedCandidate {
-    /// The reverse of the order of selection, as a `BinaryHeap` yields the greatest first.
+    /// Reverses the order of selection, because a `BinaryHeap` yields the greatest element first.
     fn cmp(&self, other: &Self) -> Ordering {
         let lowest_rank_greatest = other.rank.total_cmp(&self.rank);
-        lowest_rank_greatest.then(other.candidate.cmp(&self.candidate))
+        lowest_rank_greatest.then(other.candidate_index.cmp(&self.candidate_index))
     }
 }
 
@@ -55,11 +56,11 @@
 
 impl Eq for RankedCandidate {}
 
-/// Machines of one tier at one price of a CPU. The order is that of the tiers, then of the prices.
+/// The key of a group of machines with the same tier and price per CPU. Groups are ordered by tier, then by price.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PriceGroup {
     tier: CandidateTier,
-    /// The bits of the price: those of positive numbers are in the order of the numbers.
+    /// The bits of the price as an `f64`: for positive numbers, the bits have the same order as the numbers.
     unit_price_bits: u64,
 }
 
@@ -75,8 +76,8 @@
         f64::from_bits(self.unit_price_bits)
     }
 
-    /// The dearest group that counts as equally cheap, if this is the cheapest of its tier.
-    fn dearest_equivalent(&self) -> Self {
+    /// The upper bound of the groups that count as equally cheap if this group is the cheapest of its tier.
+    fn most_expensive_equivalent(&self) -> Self {
         PriceGroup {
             tier: self.tier,
             unit_price_bits: (self.unit_price() * PRICE_TOLERANCE_RATIO).to_bits(),
@@ -87,51 +88,53 @@
 /// The machine chosen for a task.
 #[derive(Debug, Clone, Copy)]
 pub struct Selection {
-    /// The machine, by the number under which it was pushed.
-    pub candidate: usize,
-    /// Its load and price with the task.
+    /// The index under which the machine was pushed.
+    pub candidate_index: usize,
+    /// The load and price of the machine with the task on it.
     pub load_after: MachineLoad,
 }
 
-/// The machines that a job's tasks may go to, in the order in which they are chosen.
+/// The machines that a job's tasks may use, in the order of selection.
 #[derive(Debug)]
 pub struct CandidateQueue {
     rule: PricingRule,
     demand: Resources,
     weight: f64,
     groups: BTreeMap<PriceGroup, BinaryHeap<RankedCandidate>>,
-    has_omissions: bool,
+    /// Whether a machine was left out because of [`CandidateQueue::record_slow_fetch`].
+    has_slow_fetch: bool,
 }
 
 impl CandidateQueue {
-    /// An empty queue for tasks of this demand, whose job has this weight.
+    /// Creates an empty queue for tasks of this demand. `weight` is the weight of their job's priority.
     pub fn new(rule: PricingRule, demand: Resources, weight: f64) -> Self {
         CandidateQueue {
             rule,
             demand,
             weight,
             groups: BTreeMap::new(),
-            has_omissions: false,
+            has_slow_fetch: false,
         }
     }
 
-    /// Notes that a machine with room was left out, as its image would come too late there.
-    pub fn record_omission(&mut self) {
-        self.has_omissions = true;
+    /// Records that a machine with enough free capacity was left out because it would take too long to fetch the image.
+    pub fn record_slow_fetch(&mut self) {
+        self.has_slow_fetch = true;
     }
 
-    /// Whether machines with room were left out.
-    pub fn has_omissions(&self) -> bool {
-        self.has_omissions
+    /// Whether [`CandidateQueue::record_slow_fetch`] was called.
+    pub fn has_slow_fetch(&self) -> bool {
+        self.has_slow_fetch
     }
 
-    /// Adds a machine, unless the pricing rule refuses it. `unit_price` is what a CPU costs there, and positive;
-    /// `distance_once_requested` is how far the image is for further tasks, once the first has requested it.
+    /// Adds a machine unless the pricing rule refuses it. `unit_price` is its price per CPU and must be positive.
+    /// `wait_level_once_requested` replaces [`CandidateTier::image_wait_level`] after the first task is placed there,
+    /// since that task has then requested the image.
     pub fn push(
         &mut self,
-        candidate: usize,
+        candidate_index: usize,
         tier: CandidateTier,
-        distance_once_requested: u8,
+        wait_level_once_requested: u8,
         unit_price: f64,
         load: MachineLoad,
     ) {
@@ -140,54 +143,60 @@
         };
         let ranked = RankedCandidate {
             rank,
-            candidate,
-            distance_once_requested,
+            candidate_index,
+            wait_level_once_requested,
             load,
         };
         let group = PriceGroup::new(tier, unit_price);
         self.groups.entry(group).or_default().push(ranked);
     }
 
-    /// Chooses the machine for the next task and puts it back with the load that it then has. What `is_allowed` refuses
-    /// once it must refuse from then on.
-    pub fn pop(&mut self, is_allowed: impl Fn(usize) -> bool) -> Option<Selection> {
+    /// Selects the machine for the next task and updates its load in the queue. Returns None if no machine is left.
+    ///
+    /// `is_allowed` is called with the index of a machine. Once it refuses a machine, it must refuse it on all later
+    /// calls: the queue may have removed it.
+    pub fn select_next(&mut self, is_allowed: impl Fn(usize) -> bool) -> Option<Selection> {
         self.drop_disallowed(is_allowed);
         let group = self.best_group()?;
         let chosen = self.groups.get_mut(&group)?.pop()?;
         let load_after = self.rule.load_with_task(self.demand, &chosen.load);
         let tier = CandidateTier {
-            image_distance: chosen.distance_once_requested,
+            image_wait_level: chosen.wait_level_once_requested,
             ..group.tier
         };
         self.push(
-            chosen.candidate,
+            chosen.candidate_index,
             tier,
-            chosen.distance_once_requested,
+            chosen.wait_level_once_requested,
             group.unit_price(),
             load_after,
         );
         Some(Selection {
-            candidate: chosen.candidate,
+            candidate_index: chosen.candidate_index,
             load_after,
         })
     }
 
-    /// Removes machines that are no longer allowed from the head of each group, and groups left empty.
+    /// Removes machines that are no longer allowed from the head of each group, and then empty groups.
     fn drop_disallowed(&mut self, is_allowed: impl Fn(usize) -> bool) {
         self.groups.retain(|_, heap| {
-            while heap.peek().is_some_and(|c| !is_allowed(c.candidate)) {
+            while heap
+                .peek()
+                .is_some_and(|head| !is_allowed(head.candidate_index))
+            {
                 heap.pop();
             }
             !heap.is_empty()
         });
     }
 
-    /// The group whose head the rule ranks best, among those of the first tier that are about as cheap as its cheapest.
+    /// Returns the group whose head has the best rank, among the groups of the first tier that count as equally cheap
+    /// as its cheapest one.
     fn best_group(&self) -> Option<PriceGroup> {
         let (cheapest, _) = self.groups.first_key_value()?;
         let (group, _) = self
             .groups
-            .range(*cheapest..=cheapest.dearest_equivalent())
+            .range(*cheapest..=cheapest.most_expensive_equivalent())
             .filter_map(|(group, heap)| Some((*group, heap.peek()?)))
             .max_by(|a, b| a.1.cmp(b.1))?;
         Some(group)
--- a/src/scheduler/candidate_queue/tests.rs
+++ b/src/scheduler/candidate_queue/tests.rs
@@ -7,31 +7,37 @@
 
 struct Machine {
     tier: CandidateTier,
-    distance_once_requested: u8,
+    wait_level_once_requested: u8,
     unit_price: f64,
     load: MachineLoad,
 }
 
-/// The same choice with all machines looked at for each task.
+/// Reference implementation of the selection: scans all machines for each task.
 fn choose_exhaustively(
     rule: &PricingRule,
     demand: Resources,
     weight: f64,
     machines: &[Machine],
 ) -> Option<usize> {
-    let fits = |p: &&Machine| demand.fits(p.load.free());
-    let tier = machines.iter().filter(fits).map(|p| p.tier).min()?;
-    let in_tier = |p: &&Machine| fits(p) && p.tier == tier;
-    let costs = machines.iter().filter(in_tier).map(|p| p.unit_price);
-    let cheapest = costs.fold(f64::INFINITY, f64::min);
+    let fits = |machine: &&Machine| demand.fits(machine.load.free());
+    let tiers = machines.iter().filter(fits).map(|machine| machine.tier);
+    let tier = tiers.min()?;
+    let in_tier = |machine: &&Machine| fits(machine) && machine.tier == tier;
+    let in_first_tier = machines.iter().filter(in_tier);
+    let unit_prices = in_first_tier.map(|machine| machine.unit_price);
+    let cheapest = unit_prices.fold(f64::INFINITY, f64::min);
     let allowed = machines
         .iter()
         .enumerate()
-        .filter(|(_, p)| in_tier(p) && p.unit_price <= cheapest * PRICE_TOLERANCE_RATIO);
-    let chosen = choose(rule, demand, weight, allowed.map(|(at, p)| (at, p.load)));
-    chosen.map(|(at, _)| at)
+        .filter(|(_, machine)| {
+            in_tier(machine) && machine.unit_price <= cheapest * PRICE_TOLERANCE_RATIO
+        })
+        .map(|(index, machine)| (index, machine.load));
+    choose(rule, demand, weight, allowed).map(|(index, _)| index)
 }
 
+/// Guards against a queue that selects other machines than a scan of all of them would. This happens if its groups or
+/// heaps get out of order, or if the load of a selected machine is not updated.
 #[test]
 fn selections_equal_those_of_the_exhaustive_search() {
     let mut rng = SmallRng::seed_from_u64(7);
@@ -46,12 +52,12 @@
                     memory_gb: cpus * 4.0,
                 };
                 let used = capacity.times(f64::from(rng.random_range(0..5)) / 4.0);
-                let image_distance = rng.random_range(0..4);
+                let image_wait_level = rng.random_range(0..4);
                 Machine {
-                    distance_once_requested: rng.random_range(0..=image_distance),
+                    wait_level_once_requested: rng.random_range(0..=image_wait_level),
                     tier: CandidateTier {
-                        revocable: rng.random_range(0..4) == 0,
-                        image_distance,
+                        avoided_spot: rng.random_range(0..4) == 0,
+                        image_wait_level,
                         borrowed: rng.random_range(0..3) == 0,
                     },
                     unit_price: [0.01, 0.012, 0.05][rng.random_range(0..3)],
@@ -70,23 +76,28 @@
             memory_gb: cpus * 2.0,
         };
         let mut queue = CandidateQueue::new(rule, demand, 2.0);
-        for (at, p) in machines.iter().enumerate() {
-            queue.push(at, p.tier, p.distance_once_requested, p.unit_price, p.load);
+        for (index, machine) in machines.iter().enumerate() {
+            queue.push(
+                index,
+                machine.tier,
+                machine.wait_level_once_requested,
+                machine.unit_price,
+                machine.load,
+            );
         }
         let mut placed = 0;
         loop {
             let expected = choose_exhaustively(&rule, demand, 2.0, &machines);
-            let picked = queue.pop(|_| true);
+            let selected = queue.select_next(|_| true);
             assert_eq!(
-                picked.map(|selection| selection.candidate),
+                selected.map(|selection| selection.candidate_index),
                 expected,
                 "round {round}"
             );
-            let Some(selection) = picked else { break };
-            let at = selection.candidate;
-            let load = selection.load_after;
-            machines[at].load = load;
-            machines[at].tier.image_distance = machines[at].distance_once_requested;
+            let Some(selection) = selected else { break };
+            let machine = &mut machines[selection.candidate_index];
+            machine.load = selection.load_after;
+            machine.tier.image_wait_level = machine.wait_level_once_requested;
             placed += 1;
         }
         assert!(placed > 0);
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -1,4 +1,4 @@
-//! The machines that a scheduling pass chooses among, and which of them each job may use.
+//! The candidate machines of a scheduling pass, and which of them each job may use.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -12,68 +12,68 @@
 use crate::scheduler::pass::SchedulingView;
 use crate::scheduler::pricing::MachineLoad;
 
-/// A machine as one scheduling pass sees it.
+/// A machine and its state within one scheduling pass.
 pub(super) struct CandidateMachine {
     pub(super) machine: MachineIndex,
     pub(super) zone: Rc<str>,
     pub(super) spot: bool,
-    /// By the machine catalog.
+    /// The index of the machine's type in the catalog.
     pub(super) type_index: usize,
     pub(super) role: MachineRole,
-    /// Small jobs below this priority may borrow the machine although it is kept for large work.
+    /// Small tasks of jobs below this priority may borrow the machine although it is kept for large tasks.
     pub(super) borrowing_priority_limit: Option<Priority>,
-    /// What a CPU costs there.
+    /// The rental price of the machine per CPU.
     pub(super) unit_price: f64,
-    /// Reserved against all jobs that come later in this pass.
+    /// Whether the machine is withheld from all later jobs of this pass.
     pub(super) reserved: bool,
-    /// With what this pass has assigned to it.
+    /// The load of the machine, including the tasks that this pass assigned to it.
     pub(super) load: MachineLoad,
 }
 
 impl CandidateMachine {
-    /// Whether a job accepts the machine's zone and, if it is a spot machine, that.
+    /// Whether a job accepts the machine's zone and, for a spot machine, the risk of preemption.
     pub(super) fn is_allowed_by(&self, spec: &Submission) -> bool {
-        is_offer_allowed(spec, self.spot, &self.zone)
+        is_zone_and_spot_allowed(spec, self.spot, &self.zone)
     }
 }
 
-/// Whether a job accepts machines of this zone, on demand or as spot machines.
-pub(super) fn is_offer_allowed(spec: &Submission, spot: bool, zone: &str) -> bool {
-    (spec.spot || !spot) && spec.zone.as_ref().is_none_or(|z| z == zone)
+/// Whether a job accepts machines in this zone: spot machines if `spot`, else on-demand machines.
+pub(super) fn is_zone_and_spot_allowed(spec: &Submission, spot: bool, zone: &str) -> bool {
+    (spec.spot || !spot) && spec.zone.as_ref().is_none_or(|allowed| allowed == zone)
 }
 
-/// What a machine type is to a job.
+/// Whether and how a job can use a machine type.
 #[derive(Clone, Copy)]
 struct TypeSuitability {
     is_allowed: bool,
-    /// The job's tasks count as large on it.
+    /// Whether the job's tasks count as large on machines of this type.
     is_large: bool,
 }
 
 impl TypeSuitability {
-    /// Machines kept for large work are not fragmented by small tasks, unless they are lent; large work may also take a
-    /// shared machine that has room for it.
+    /// Whether tasks of the job, which has this priority, may use a machine of this type. Small tasks may not fragment
+    /// machines kept for large tasks unless these are lent; large tasks may also use shared machines.
     fn admits(&self, candidate: &CandidateMachine, priority: Priority) -> bool {
         let is_lent = candidate
             .borrowing_priority_limit
-            .is_some_and(|below| priority < below);
+            .is_some_and(|limit| priority < limit);
         self.is_allowed && (self.is_large || candidate.role == MachineRole::Shared || is_lent)
     }
 }
 
 impl SchedulingView<'_> {
-    /// The schedulable machines that have room for the smallest waiting task. With a large backlog nearly all are full,
-    /// and a pass over them for each waiting job once took all of the leader's processor share.
+    /// Returns the schedulable machines with enough free capacity for the smallest pending task. With a large backlog
+    /// nearly all machines are full, and visiting these for each waiting job would use up the leader's CPU share.
     pub(super) fn candidates(
         &self,
         borrowing_priority_limit: impl Fn(usize) -> Option<Priority>,
     ) -> Vec<CandidateMachine> {
-        let waiting = self
+        let demands = self
             .scheduler
             .waiting_jobs
             .iter()
             .map(|index| self.jobs[index].task_resources());
-        let smallest = waiting.reduce(Resources::component_min).unwrap_or_default();
+        let smallest = demands.reduce(Resources::component_min).unwrap_or_default();
         let mut candidates: Vec<CandidateMachine> = self
             .fleet
             .machines
@@ -84,11 +84,11 @@
             })
             .filter_map(|(index, machine)| self.candidate(*index, machine))
             .collect();
-        self.mark_borrowable(&mut candidates, borrowing_priority_limit);
+        self.set_borrowing_limits(&mut candidates, borrowing_priority_limit);
         candidates
     }
 
-    /// A machine as candidate; None if its type is not known yet.
+    /// Returns a machine as a candidate, or None if its type is not known yet.
     fn candidate(&self, index: MachineIndex, machine: &Machine) -> Option<CandidateMachine> {
         let type_index = machine.type_index?;
         Some(CandidateMachine {
@@ -108,29 +108,31 @@
         })
     }
 
-    /// Notes which machines kept for large work may be borrowed: none that is about to be returned.
-    fn mark_borrowable(
+    /// Sets [`CandidateMachine::borrowing_priority_limit`] of the machines that are kept for large tasks. Surplus
+    /// machines are not lent, because they are about to be returned.
+    fn set_borrowing_limits(
         &self,
         candidates: &mut [CandidateMachine],
         borrowing_priority_limit: impl Fn(usize) -> Option<Priority>,
     ) {
-        let mut below_by_type: HashMap<usize, Option<Priority>> = HashMap::new();
+        let mut limit_by_type: HashMap<usize, Option<Priority>> = HashMap::new();
         for candidate in candidates
             .iter_mut()
             .filter(|candidate| candidate.role != MachineRole::Shared)
         {
             let type_index = candidate.type_index;
-            let below = *below_by_type
+            let limit = *limit_by_type
                 .entry(type_index)
                 .or_insert_with(|| borrowing_priority_limit(type_index));
             let is_surplus = |machine: &Machine| machine.surplus_since.is_some();
             candidate.borrowing_priority_limit =
-                below.filter(|_| !is_surplus(&self.fleet.machines[&candidate.machine]));
+                limit.filter(|_| !is_surplus(&self.fleet.machines[&candidate.machine]));
         }
     }
 
-    /// The allowed machines of a job, for the pricing rule to choose among. Those of low price come first, so that
-    /// dearer ones come free and can be returned; borrowed ones come last, as what runs there may be preempted.
+    /// Returns the machines that a job may use as a queue, from which the pricing rule selects. Cheap machines come
+    /// first, so that expensive ones become empty and can be returned. Borrowed machines come last, because tasks there
+    /// may be preempted.
     pub(super) fn candidate_queue(
         &self,
         job: &Job,
@@ -140,45 +142,44 @@
         let spec = &job.spec;
         let resources = job.task_resources();
         let weight = self.config.tunables.weights[priority_rank(spec.priority)];
-        let types = self.type_suitabilities(job);
+        let suitabilities = self.type_suitabilities(job);
         let is_allowed = |candidate: &CandidateMachine| {
-            types[candidate.type_index].admits(candidate, spec.priority)
+            suitabilities[candidate.type_index].admits(candidate, spec.priority)
                 && !candidate.reserved
                 && candidate.is_allowed_by(spec)
                 && is_eligible(candidate)
         };
-        // Machines where the job's tasks failed are left out if there are others.
-        let is_healthy =
+        // Machines on which the job's tasks failed are left out if it may use others.
+        let is_failure_free =
             |candidate: &CandidateMachine| !job.failed_machines.contains(&candidate.machine);
-        let any_healthy = job.failed_machines.is_empty()
+        let any_failure_free = job.failed_machines.is_empty()
             || candidates
                 .iter()
-                .any(|candidate| is_allowed(candidate) && is_healthy(candidate));
+                .any(|candidate| is_allowed(candidate) && is_failure_free(candidate));
         let policy = self.image_wait_policy(job);
         let avoids_spot = job.is_chain_step_with_deadline();
         let mut queue = CandidateQueue::new(self.scheduler.rule, resources, weight);
-        for (at, candidate) in candidates.iter().enumerate() {
+        for (candidate_index, candidate) in candidates.iter().enumerate() {
             if !resources.fits(candidate.load.free())
                 || !is_allowed(candidate)
-                || (any_healthy && !is_healthy(candidate))
+                || (any_failure_free && !is_failure_free(candidate))
             {
                 continue;
             }
-            let Some(distance) = self.image_distance(candidate, spec, policy) else {
-                queue.record_omission();
+            let Some(wait_levels) = self.image_wait_levels(candidate, spec, policy) else {
+                queue.record_slow_fetch();
                 continue;
             };
             let tier = CandidateTier {
-                revocable: avoids_spot && candidate.spot,
-                image_distance: distance.current,
+                avoided_spot: avoids_spot && candidate.spot,
+                image_wait_level: wait_levels.current,
                 borrowed: candidate.role != MachineRole::Shared
-                    && !types[candidate.type_index].is_large,
+                    && !suitabilities[candidate.type_index].is_large,
             };
-            let once_requested = distance.once_requested;
             queue.push(
-                at,
+                candidate_index,
                 tier,
-                once_requested,
+                wait_levels.once_requested,
                 candidate.unit_price,
                 candidate.load,
             );
@@ -186,7 +187,7 @@
         queue
     }
 
-    /// What each machine type of the catalog is to a job.
+    /// Returns the suitability of each machine type for a job, in the order of the catalog.
     fn type_suitabilities(&self, job: &Job) -> Vec<TypeSuitability> {
         let resources = job.task_resources();
         (0..self.catalog.len())
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -1,4 +1,4 @@
-//! Gang scheduling: all tasks of a gang are placed at once, and machines are gathered for gangs that waited long.
+//! Gang scheduling: all tasks of a gang are placed at once, and machines are reserved for gangs that have waited long.
 
 use std::collections::HashMap;
 use std::ops::Range;
@@ -10,15 +10,15 @@
 use crate::resources::tasks_that_fit;
 use crate::scheduler::LARGE_JOB_START_TARGET_S;
 use crate::scheduler::candidate_queue::Selection;
-use crate::scheduler::candidates::{CandidateMachine, is_offer_allowed};
-use crate::scheduler::pass::{Assignment, Placement, SchedulingView, Shortfall};
+use crate::scheduler::candidates::{CandidateMachine, is_zone_and_spot_allowed};
+use crate::scheduler::pass::{Assignment, Placement, SchedulingView, UnplacedReason};
 use crate::scheduler::zone_constraint::ZoneConstraint;
 
-/// Machines are gathered for a gang while its wait, as a ratio to [`LARGE_JOB_START_TARGET_S`], is in this range.
-/// Earlier, the small gangs that wait meanwhile cost more than the large one gains.
-const GATHERING_WINDOW_RATIO: Range<f64> = 0.75..1.5;
-/// The window recurs after this ratio to the same time.
-const GATHERING_PERIOD_RATIO: f64 = 1.75;
+/// A gang is in its reservation window while its wait, as a ratio to [`LARGE_JOB_START_TARGET_S`], is in this range. An
+/// earlier window would delay small gangs by more than the large gang gains.
+const RESERVATION_WINDOW_RATIO: Range<f64> = 0.75..1.5;
+/// The period after which the reservation window recurs, as a ratio to [`LARGE_JOB_START_TARGET_S`].
+const RESERVATION_PERIOD_RATIO: f64 = 1.75;
 
 impl SchedulingView<'_> {
     /// Places all tasks of a gang, or none.
@@ -28,12 +28,12 @@
         candidates: &mut [CandidateMachine],
     ) -> Placement {
         let job = &self.jobs[&index];
-        // Tasks of the former attempt keep their machines and zones until they are off.
+        // Tasks of the previous attempt still hold machines and zones.
         if job.assigned_tasks > 0 || job.live_attempts > 0 {
             return Placement::default();
         }
         let demand = job.task_resources().times(f64::from(job.spec.tasks));
-        if !self.is_within_quota(self.team_usage, job.team, demand) {
+        if !self.is_within_team_limit(self.team_usage, job.team, demand) {
             return Placement::default();
         }
         for zone in zones_to_try(job, candidates) {
@@ -42,7 +42,7 @@
             };
             let mut placement = Placement::default();
             for selection in selections {
-                let candidate = &mut candidates[selection.candidate];
+                let candidate = &mut candidates[selection.candidate_index];
                 candidate.load = selection.load_after;
                 placement.assignments.push(Assignment {
                     machine: candidate.machine,
@@ -53,11 +53,12 @@
         }
         Placement {
             assignments: Vec::new(),
-            shortfall: Some(Shortfall::NoRoom),
+            unplaced_reason: Some(UnplacedReason::NoCapacity),
         }
     }
 
-    /// Machines for all tasks of a gang, within one zone if it is given. None if not all find room.
+    /// Selects machines for all tasks of a gang, only in `zone` if given. Returns None if not all of them can be
+    /// placed.
     fn select_for_gang(
         &self,
         job: &Job,
@@ -65,31 +66,36 @@
         zone: Option<&Rc<str>>,
     ) -> Option<Vec<Selection>> {
         let mut zones = ZoneConstraint::new(&job.spec, HashMap::new());
-        let is_in_zone = |candidate: &CandidateMachine| zone.is_none_or(|z| *z == candidate.zone);
+        let is_in_zone =
+            |candidate: &CandidateMachine| zone.is_none_or(|zone| *zone == candidate.zone);
         let mut queue = self.candidate_queue(job, candidates, is_in_zone);
         let mut selections = Vec::new();
         while selections.len() < job.spec.tasks as usize {
-            let selection = queue.pop(|at| zones.allows(&candidates[at].zone))?;
-            zones.add(&candidates[selection.candidate].zone);
+            let selection = queue.select_next(|index| zones.allows(&candidates[index].zone))?;
+            zones.add_task(&candidates[selection.candidate_index].zone);
             selections.push(selection);
         }
         Some(selections)
     }
 
-    /// Whether a gang has waited so long that machines are gathered for it. Not without end: one that can't be placed
-    /// then lets others go first for a while.
-    pub(super) fn is_gathering_machines(&self, job: &Job) -> bool {
+    /// Whether a job is a gang in its reservation window: it goes before other jobs of its priority, and machines may
+    /// be reserved for it. A gang that can't be placed within the window lets others go first until the next one.
+    pub(super) fn is_in_reservation_window(&self, job: &Job) -> bool {
         let wait_ratio = (self.now - job.ready_at) / LARGE_JOB_START_TARGET_S;
-        job.is_gang() && GATHERING_WINDOW_RATIO.contains(&(wait_ratio % GATHERING_PERIOD_RATIO))
+        job.is_gang() && RESERVATION_WINDOW_RATIO.contains(&(wait_ratio % RESERVATION_PERIOD_RATIO))
     }
 
-    /// Reserves the machines with room that a gang could use against all that comes later in this pass, if there are
-    /// machines enough for it in the end; returns whether there are. Small gangs once took each large machine that came
-    /// free, and those of sixteen tasks waited for minutes.
+    /// Reserves the machines with free capacity for a task of a gang, which withholds them from later jobs of this
+    /// pass. Replaces the gap reservations made earlier in the pass. Returns false and changes nothing if the
+    /// schedulable machines could not hold the gang even when empty.
+    ///
+    /// Without the reservation, small gangs take each large machine as soon as it is free, and gangs of sixteen tasks
+    /// wait for minutes.
     pub(super) fn reserve_for_gang(&self, job: &Job, candidates: &mut [CandidateMachine]) -> bool {
         let tasks = job.spec.tasks as usize;
         let capacity_by_zone = self.gang_capacity_by_zone(job);
         let zone = if job.spec.one_zone {
+            // Of the zones with the largest capacity, the first by name is chosen.
             let largest = capacity_by_zone
                 .into_iter()
                 .max_by(|a, b| (a.1, &b.0).cmp(&(b.1, &a.0)));
@@ -104,7 +110,7 @@
         };
         let resources = job.task_resources();
         for candidate in candidates.iter_mut() {
-            candidate.reserved = zone.as_ref().is_none_or(|z| *z == candidate.zone)
+            candidate.reserved = zone.as_ref().is_none_or(|zone| *zone == candidate.zone)
                 && self.suits_gang(job, candidate.type_index, candidate.role)
                 && candidate.is_allowed_by(&job.spec)
                 && resources.fits(candidate.load.free());
@@ -112,13 +118,13 @@
         true
     }
 
-    /// How many tasks of a gang the schedulable machines of each zone could hold if they were empty.
+    /// Returns how many tasks of a gang the schedulable machines of each zone could hold if they were empty.
     fn gang_capacity_by_zone(&self, job: &Job) -> HashMap<Rc<str>, usize> {
         let mut capacity_by_zone: HashMap<Rc<str>, usize> = HashMap::new();
         for machine in self.fleet.machines.values() {
             let is_suitable = machine.type_index.is_some_and(|type_index| {
                 self.suits_gang(job, type_index, machine.role)
-                    && is_offer_allowed(&job.spec, machine.spot, &machine.zone)
+                    && is_zone_and_spot_allowed(&job.spec, machine.spot, &machine.zone)
             });
             if is_suitable && self.fleet.is_schedulable(machine, self.now) {
                 let tasks = tasks_that_fit(job.task_resources(), machine.capacity) as usize;
@@ -128,8 +134,8 @@
         capacity_by_zone
     }
 
-    /// Whether machines of a type and role are for the tasks of a gang: large ones use only those kept for
-    /// large work.
+    /// Whether a gang's tasks may use machines of a type and role. Tasks that count as large on the type use only
+    /// machines that are kept for large tasks.
     fn suits_gang(&self, job: &Job, type_index: usize, role: MachineRole) -> bool {
         let capacity = self.catalog.capacity(type_index);
         is_type_allowed(&job.spec, &self.catalog[type_index])
@@ -138,12 +144,16 @@
     }
 }
 
-/// The zones to try one after the other for a gang that must be in one; a single None for any other.
+/// Returns the zones in which to try to place a gang, in order. Only a gang that must run in one zone is tried zone by
+/// zone; for others, the single None stands for all zones together.
 fn zones_to_try(job: &Job, candidates: &[CandidateMachine]) -> Vec<Option<Rc<str>>> {
     if !job.spec.one_zone {
         return vec![None];
     }
-    let mut zones: Vec<Rc<str>> = candidates.iter().map(|c| c.zone.clone()).collect();
+    let mut zones: Vec<Rc<str>> = candidates
+        .iter()
+        .map(|candidate| candidate.zone.clone())
+        .collect();
     zones.sort_unstable();
     zones.dedup();
     zones.into_iter().map(Some).collect()
--- a/src/scheduler/image_cache.rs
+++ b/src/scheduler/image_cache.rs
@@ -1,25 +1,25 @@
-//! Which images a machine's cache holds or fetches, as far as a leader can infer: workers report the state of their
-//! tasks only.
+//! A leader's model of which images a machine's cache holds or fetches. It is inferred, because workers report only the
+//! states of their tasks.
 
 use std::rc::Rc;
 
 use crate::runtime::Time;
 
-/// The image cache of a machine type.
+/// The size and speed of the image cache of a machine type.
 #[derive(Debug, Clone, Copy)]
 pub struct CacheCapacity {
     /// Size in gigabytes.
     pub size_gb: f64,
-    /// Fetch rate in gigabytes per second, all images together.
+    /// Fetch rate in gigabytes per second, shared by all fetches of a machine.
     pub gb_per_s: f64,
 }
 
 /// The state of an image on a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum ImageState {
-    /// Requested; expected to be complete at this moment.
+    /// The image is requested and expected to be complete at `due`.
     Fetching { due: Time },
-    /// A task was seen running with it.
+    /// The worker reported a task that has the image.
     Present,
 }
 
@@ -30,10 +30,10 @@
     state: ImageState,
 }
 
-/// The images of a machine.
+/// The images that a machine holds or fetches.
 #[derive(Debug, Clone, Default)]
 pub struct ImageCache {
-    /// The least recently used first.
+    /// Ordered by last use, the least recently used image first.
     images: Vec<CachedImage>,
 }
 
@@ -42,7 +42,7 @@
         self.images.iter().position(|image| *image.name == *name)
     }
 
-    /// Seconds until an image that is present or requested is complete. None: it is neither.
+    /// Seconds until an image is complete; 0 if it is present, None if it is neither present nor requested.
     pub fn remaining_fetch_s(&self, name: &str, now: Time) -> Option<f64> {
         let image = &self.images[self.position(name)?];
         Some(match image.state {
@@ -51,12 +51,12 @@
         })
     }
 
-    /// The images that are present or requested.
+    /// The names of the images that are present or requested.
     pub fn names(&self) -> impl Iterator<Item = &Rc<str>> {
         self.images.iter().map(|image| &image.name)
     }
 
-    /// Seconds for which the machine is busy with the fetches requested so far.
+    /// Seconds until the fetches requested so far are complete.
     pub fn fetch_backlog_s(&self, now: Time) -> f64 {
         let due = self.images.iter().filter_map(|image| match image.state {
             ImageState::Present => None,
@@ -65,8 +65,9 @@
         due.fold(now, f64::max) - now
     }
 
-    /// A task that needs an image was assigned to the machine: the image counts as used, and is fetched if it isn't
-    /// there. The least recently used images are evicted for it.
+    /// Records that a task that needs an image was assigned to the machine. The image becomes the most recently used
+    /// one. If it is neither present nor requested, a fetch is added, and the least recently used images are evicted
+    /// until the rest fits into the cache or only this image is left.
     pub fn request(&mut self, name: &str, size_gb: f64, capacity: CacheCapacity, now: Time) {
         if let Some(position) = self.position(name) {
             let image = self.images.remove(position);
@@ -77,7 +78,7 @@
             name: name.into(),
             size_gb,
             state: ImageState::Fetching {
-                due: now + self.fetch_backlog_s(now) + fetch_s(size_gb, capacity),
+                due: now + self.fetch_backlog_s(now) + uncontended_fetch_s(size_gb, capacity),
             },
         });
         let mut total_gb: f64 = self.images.iter().map(|image| image.size_gb).sum();
@@ -86,30 +87,31 @@
         }
     }
 
-    /// A worker reported a task that needs an image: with the image if it is `present`, else fetching it.
+    /// Records a worker's report of a task that needs an image: the task has the image if `is_present`, else it is
+    /// being fetched.
     pub fn observe(
         &mut self,
         name: &str,
         size_gb: f64,
-        present: bool,
+        is_present: bool,
         capacity: CacheCapacity,
         now: Time,
     ) {
         self.request(name, size_gb, capacity, now);
-        if present && let Some(image) = self.images.last_mut() {
+        if is_present && let Some(image) = self.images.last_mut() {
             image.state = ImageState::Present;
         }
     }
 
-    /// No task needs an image any more: the worker cancels a fetch of it that is not complete.
+    /// Removes an image that is not known to be present: the worker cancels its fetch once no task needs the image.
     pub fn cancel_fetch(&mut self, name: &str) {
         self.images
             .retain(|image| image.state == ImageState::Present || *image.name != *name);
     }
 }
 
-/// Seconds that a machine with nothing else to fetch takes for an image.
-pub fn fetch_s(size_gb: f64, capacity: CacheCapacity) -> f64 {
+/// Seconds that a machine without other fetches takes to fetch an image; 0 without a positive fetch rate.
+pub fn uncontended_fetch_s(size_gb: f64, capacity: CacheCapacity) -> f64 {
     if capacity.gb_per_s > 0.0 {
         size_gb / capacity.gb_per_s
     } else {
--- a/src/scheduler/image_cache/tests.rs
+++ b/src/scheduler/image_cache/tests.rs
@@ -7,8 +7,10 @@
     gb_per_s: 0.5,
 };
 
+/// Guards against wrong estimates of when images are complete: a fetch waits for the earlier ones of the machine, a
+/// cancelled fetch no longer counts, and an image that is present stays until it is evicted as the least recently used.
 #[test]
-fn fetches_queue_up_and_the_least_recently_used_go() {
+fn fetches_are_sequential_and_least_recently_used_images_are_evicted() {
     let mut images = ImageCache::default();
     images.request("a", 2.0, CACHE, 0.0);
     images.request("b", 1.0, CACHE, 0.0);
@@ -17,7 +19,7 @@
     assert_eq!(images.fetch_backlog_s(1.0), 5.0);
     images.observe("a", 2.0, true, CACHE, 3.0);
     assert_eq!(images.remaining_fetch_s("a", 3.0), Some(0.0));
-    // The task that waited for it is gone, and with it the fetch; what is there stays.
+    // No task needs the images any more: the incomplete fetch of "b" is cancelled, "a" is present and stays.
     images.cancel_fetch("b");
     images.cancel_fetch("a");
     assert_eq!(images.remaining_fetch_s("b", 3.0), None);
--- a/src/scheduler/order.rs
+++ b/src/scheduler/order.rs
@@ -1,4 +1,5 @@
-//! The order in which waiting jobs are placed: priority, fair share within guarantees, objectives and deadlines, size.
+//! The order in which waiting jobs are placed. It depends on their priority, their team's guarantee, their objectives
+//! and deadlines, and their size.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,13 +10,15 @@
 use crate::scheduler::LARGE_JOB_START_TARGET_S;
 use crate::scheduler::pass::SchedulingView;
 
-/// Run times of tasks vary: so many times the mean is expected.
+/// Factor on the mean run time of a job's tasks to allow for the variation of run times.
 const RUN_TIME_MARGIN: f64 = 1.3;
-/// A job that would take all machines for a second comes so many seconds later in the order.
+/// Seconds by which a job moves back in the order for each second that it would occupy the whole fleet.
 const SIZE_DELAY_RATIO: f64 = 60.0;
-/// But not by more than this part of [`LARGE_JOB_START_TARGET_S`]: on a small fleet large jobs would wait without end.
+/// Upper limit of that delay, as a ratio to [`LARGE_JOB_START_TARGET_S`]. Without it, large jobs on a small fleet would
+/// wait indefinitely.
 const SIZE_DELAY_MAX_RATIO: f64 = 0.25;
-/// A job that missed its objectives is due after so many times the longest of them.
+/// A job that missed its objectives is due again after this multiple of the longest one, counted from when it was
+/// ready.
 const OVERDUE_RATIO: f64 = 3.0;
 /// The highest rank of a priority, see [`priority_rank`].
 const HIGHEST_PRIORITY_RANK: usize = 3;
@@ -25,19 +28,20 @@
 struct SchedulingKey {
     /// 0 for the highest priority.
     inverse_priority: usize,
-    /// False for gangs that machines are gathered for.
-    is_not_gathering: bool,
+    /// False for gangs for which machines may be reserved now.
+    is_outside_reservation_window: bool,
     /// False for jobs within their team's guarantee.
     exceeds_guarantee: bool,
-    /// The latest start, delayed by the job's size, in milliseconds.
+    /// The latest start plus the delay for the job's size, in milliseconds.
     delayed_start_ms: i64,
     acceptance_order: u64,
     index: JobIndex,
 }
 
 impl SchedulingView<'_> {
-    /// The waiting jobs in the order in which they are placed: by priority, then gangs that machines are gathered for,
-    /// then those within their team's guarantee, then by latest start, then by age. Jobs in backoff are left out.
+    /// Returns the waiting jobs in the order in which they are placed: by priority, then gangs in their reservation
+    /// window before other jobs, then jobs within their team's guarantee, then by latest start (delayed for the size),
+    /// then by acceptance. Jobs in backoff are left out.
     pub(crate) fn scheduling_order(&self) -> Vec<JobIndex> {
         let within_guarantee = self.jobs_within_guarantee();
         let machines = self.fleet.machines.values();
@@ -50,7 +54,7 @@
             .filter(|(_, job)| job.backoff_until <= self.now)
             .map(|(index, job)| SchedulingKey {
                 inverse_priority: HIGHEST_PRIORITY_RANK - priority_rank(job.spec.priority),
-                is_not_gathering: !self.is_gathering_machines(job),
+                is_outside_reservation_window: !self.is_in_reservation_window(job),
                 exceeds_guarantee: !within_guarantee.contains(&index),
                 delayed_start_ms: ((self.latest_start(job) + self.size_delay_s(job, fleet_cpus))
                     * 1000.0) as i64,
@@ -62,7 +66,8 @@
         keys.into_iter().map(|key| key.index).collect()
     }
 
-    /// The unfinished jobs that are covered by their team's guarantee, the earliest first.
+    /// Returns the jobs that their team's guarantee covers. Each guarantee is granted to the team's jobs in the order
+    /// of acceptance; jobs that ended or are blocked take no part of it.
     fn jobs_within_guarantee(&self) -> HashSet<JobIndex> {
         let teams = &self.config.deployment.teams;
         let mut within_guarantee = HashSet::new();
@@ -75,53 +80,55 @@
             .filter(|(_, job)| job.end.is_none() && !job.is_blocked)
             .collect();
         unfinished.sort_by_key(|(_, job)| job.acceptance_order);
-        // What the jobs of each team up to this one may use of its guarantee.
-        let mut claimed_by_team: HashMap<usize, Resources> = HashMap::new();
+        // The demand of each team's jobs that were accepted up to the current one, covered or not.
+        let mut demand_by_team: HashMap<usize, Resources> = HashMap::new();
         for (index, job) in unfinished {
             let tasks_left = f64::from(job.spec.tasks - job.done_tasks);
-            let claimed = claimed_by_team.entry(job.team).or_default();
-            *claimed = claimed.plus(job.task_resources().times(tasks_left));
-            if is_covered(job, *claimed, &teams[job.team]) {
+            let demand = demand_by_team.entry(job.team).or_default();
+            *demand = demand.plus(job.task_resources().times(tasks_left));
+            if is_covered(job, *demand, &teams[job.team]) {
                 within_guarantee.insert(*index);
             }
         }
         within_guarantee
     }
 
-    /// When a job must be placed at the latest to meet the next of its class's objectives that it still can meet.
+    /// Returns when a job must start at the latest to meet the most urgent of the targets that it can still meet. Its
+    /// targets are the service-level objectives, which may include its own deadline, and the deadlines of the jobs that
+    /// depend on it.
     ///
-    /// A job whose moment has passed comes after those that can still be in time, but not without end: after a few
-    /// times its longest objective it is due again.
+    /// A job that missed all of them comes after the jobs that can still meet theirs. To keep it from waiting
+    /// indefinitely, it is due again [`OVERDUE_RATIO`] times its longest objective after it was ready.
     fn latest_start(&self, job: &Job) -> Time {
         let run_s = self.autoscaler.expected_run_s(job) * RUN_TIME_MARGIN;
         let team = &self.config.deployment.teams[job.team];
-        let mut next = f64::INFINITY;
+        let mut most_urgent = f64::INFINITY;
         let mut longest_s: f64 = 0.0;
         for objective in &self.config.deployment.objectives {
             let Some(target) = StartTarget::new(objective, job, team, run_s) else {
                 continue;
             };
             longest_s = longest_s.max(target.within_s);
-            // An owner's deadline counts from the submission, however long the job waited for others.
-            let from = if objective.kind == ObjectiveKind::Deadline {
+            // A deadline counts from the submission, even while the job is blocked on its dependencies.
+            let target_since = if objective.kind == ObjectiveKind::Deadline {
                 job.submitted_at
             } else {
                 job.ready_at
             };
-            let latest = from + target.within_s - target.run_s;
-            if latest > self.now {
-                next = next.min(latest);
+            let latest_start = target_since + target.within_s - target.run_s;
+            if latest_start > self.now {
+                most_urgent = most_urgent.min(latest_start);
             }
         }
-        let latest = job.required_by - run_s;
-        if latest > self.now {
-            next = next.min(latest);
+        let latest_start = job.required_by - run_s;
+        if latest_start > self.now {
+            most_urgent = most_urgent.min(latest_start);
         }
-        next.min(job.ready_at + longest_s * OVERDUE_RATIO)
+        most_urgent.min(job.ready_at + longest_s * OVERDUE_RATIO)
     }
 
-    /// By how many seconds a job comes later in the order for its size: where not all can be in time, the same machines
-    /// bring more small ones there.
+    /// Returns by how many seconds a job moves back in the order because of its size; 0 for gangs. If not all jobs can
+    /// meet their objectives, more of them do on the same machines when the small ones go first.
     fn size_delay_s(&self, job: &Job, fleet_cpus: f64) -> f64 {
         if job.is_gang() {
             return 0.0;
@@ -134,20 +141,20 @@
     }
 }
 
-/// What an objective asks of a job.
+/// The target that an objective sets for a job.
 struct StartTarget {
-    /// Seconds within which the job must have started or, with `run_s`, be done.
+    /// Seconds within which the job must have started and then run for `run_s`.
     within_s: f64,
-    /// Seconds of run time that count against the objective.
+    /// Run time that must fit into `within_s`, in seconds; 0 if the objective ends with the start of the job.
     run_s: f64,
 }
 
 impl StartTarget {
-    /// None if the objective doesn't apply to the job. `run_s` is the run time expected of the job's class.
+    /// Returns None if the objective doesn't apply to the job. `run_s` is the expected run time of the job's class.
     fn new(objective: &Objective, job: &Job, team: &Team, run_s: f64) -> Option<Self> {
-        let is_own_class = objective.class.as_deref() == Some(&job.spec.class);
+        let applies_to_class = objective.class.as_deref() == Some(&job.spec.class);
         let is_start_objective = match objective.kind {
-            ObjectiveKind::Wait => is_own_class,
+            ObjectiveKind::Wait => applies_to_class,
             ObjectiveKind::Guarantee => has_guarantee(team),
             ObjectiveKind::Finished | ObjectiveKind::Deadline | ObjectiveKind::Other(_) => false,
         };
@@ -157,7 +164,8 @@
         }
         let within_s = objective.completion_target_s(&job.spec)?;
         let run_s = if objective.kind == ObjectiveKind::Deadline {
-            // A deadline comes from its owner's estimate, which is specific to this job.
+            // The owner derives a deadline from the estimate for this very job, so the estimate counts as well as the
+            // expected run time of the class: their geometric mean is used.
             (run_s * job.spec.estimate_s.max(0.0)).sqrt()
         } else {
             run_s
@@ -166,16 +174,17 @@
     }
 }
 
-/// Whether a team has a guarantee at all.
+/// Whether a team is guaranteed any CPUs or GPUs.
 fn has_guarantee(team: &Team) -> bool {
     team.cpus > 0.0 || team.gpus > 0.0
 }
 
-/// Whether a team's guarantee covers a job, if the team's jobs up to this one claim so much.
-fn is_covered(job: &Job, claimed: Resources, team: &Team) -> bool {
-    let fits =
-        |claimed: f64, guaranteed: f64, demand: f64| demand <= 0.0 || claimed <= guaranteed + 1e-6;
+/// Whether a team's guarantee covers a job. `team_demand` is the demand of the team's jobs up to this one, inclusive.
+fn is_covered(job: &Job, team_demand: Resources, team: &Team) -> bool {
+    let fits = |team_demand: f64, guaranteed: f64, job_demand: f64| {
+        job_demand <= 0.0 || team_demand <= guaranteed + 1e-6
+    };
     has_guarantee(team)
-        && fits(claimed.cpus, team.cpus, job.spec.cpus)
-        && fits(claimed.gpus, team.gpus, job.spec.gpus)
+        && fits(team_demand.cpus, team.cpus, job.spec.cpus)
+        && fits(team_demand.gpus, team.gpus, job.spec.gpus)
 }
--- a/src/scheduler/pass.rs
+++ b/src/scheduler/pass.rs
@@ -15,7 +15,7 @@
 use crate::scheduler::Scheduler;
 use crate::scheduler::candidates::CandidateMachine;
 
-/// What the scheduler reads of the leader's state.
+/// The parts of the leader's state that the scheduler reads.
 #[derive(Clone, Copy)]
 pub(crate) struct SchedulingView<'a> {
     pub(crate) config: &'a Config,
@@ -30,8 +30,13 @@
 }
 
 impl SchedulingView<'_> {
-    /// Whether a team stays within its quota if it uses so much more than `usage` says.
-    pub(super) fn is_within_quota(&self, usage: &TeamUsage, team: usize, more: Resources) -> bool {
+    /// Whether a team stays within the limit in its settings if it uses `more` on top of `usage`.
+    pub(super) fn is_within_team_limit(
+        &self,
+        usage: &TeamUsage,
+        team: usize,
+        more: Resources,
+    ) -> bool {
         usage.is_within(team, more, &self.config.deployment.teams[team])
     }
 }
@@ -40,42 +45,44 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Assignment {
     pub(crate) machine: MachineIndex,
-    /// The machine's price by the pricing rule, once it has the task.
+    /// The machine's price by the pricing rule, with the task on it.
     pub(crate) price_after: f64,
 }
 
-/// Why tasks of a job that may run now were not placed.
+/// Why pending tasks of a job were not placed although the job may run more of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Shortfall {
-    /// No machine had room for more.
-    NoRoom,
-    /// Machines had room, but the image would come too late there.
-    ImageTooFar,
+pub(super) enum UnplacedReason {
+    /// No allowed machine had enough free capacity.
+    NoCapacity,
+    /// Machines had enough free capacity, but would take too long to fetch the image.
+    ImageFetchTooSlow,
 }
 
-/// What the scheduler decided on one job.
+/// What the scheduler decided for one job.
 #[derive(Debug, Default)]
 pub(super) struct Placement {
-    /// One for each task placed, in the order in which they were chosen.
+    /// One for each task that is placed, in the order in which the machines were chosen.
     pub(super) assignments: Vec<Assignment>,
-    /// Why there are no more. None if all are placed, or if the others may not run yet, as by the team's quota.
-    pub(super) shortfall: Option<Shortfall>,
+    /// Why pending tasks are left. None if all are placed, or if the job may not run more of them yet, for example
+    /// because of its team's limit.
+    pub(super) unplaced_reason: Option<UnplacedReason>,
 }
 
-/// A job that found no room in this pass: others that need at least as much are not tried.
+/// A job with tasks that could not be placed in this pass. Jobs that need at least as much are not tried after it.
 struct FailedPlacement {
     spec: Rc<Submission>,
+    /// The number of tasks that have to be placed together: all of a gang's, 1 for an array.
     tasks_at_once: u32,
-    shortfall: Shortfall,
+    unplaced_reason: UnplacedReason,
 }
 
 impl FailedPlacement {
-    /// Whether it follows that so many tasks at once of another job find no room either.
+    /// Whether another job, of which `tasks_at_once` tasks have to be placed together, is assumed to fail as well.
     fn implies_failure(&self, spec: &Submission, tasks_at_once: u32) -> bool {
         let failed = &self.spec;
-        let same_image_matters = self.shortfall == Shortfall::ImageTooFar;
+        let is_image_specific = self.unplaced_reason == UnplacedReason::ImageFetchTooSlow;
         tasks_at_once >= self.tasks_at_once
-            && (!same_image_matters || failed.image == spec.image)
+            && (!is_image_specific || failed.image == spec.image)
             && task_resources(failed).fits(task_resources(spec))
             && failed.priority == spec.priority
             && failed.spot == spec.spot
@@ -86,17 +93,18 @@
     }
 }
 
-/// One pass over the waiting jobs. It keeps the candidate machines with the load that its own decisions give them.
+/// One pass over the waiting jobs. It tracks the load of the candidate machines, its own decisions included.
 pub(crate) struct SchedulingPass {
     candidates: Vec<CandidateMachine>,
     failed: Vec<FailedPlacement>,
-    /// Machines are reserved for a gang: for one only in a pass.
-    gang_has_reservation: bool,
+    /// Whether machines are already reserved for a gang. A pass reserves machines for at most one gang.
+    is_gang_reservation_made: bool,
 }
 
 impl SchedulingPass {
-    /// A pass over the machines as they are now. `borrowing_priority_limit` says below which priority jobs may borrow
-    /// machines of a type that are kept for large work, if any may.
+    /// Starts a pass with the current state of the machines. For the index of a machine type,
+    /// `borrowing_priority_limit` returns below which priority jobs may borrow the machines that are kept for large
+    /// tasks, or None if no job may.
     pub(crate) fn new(
         view: &SchedulingView<'_>,
         borrowing_priority_limit: impl Fn(usize) -> Option<Priority>,
@@ -104,18 +112,19 @@
         SchedulingPass {
             candidates: view.candidates(borrowing_priority_limit),
             failed: Vec::new(),
-            gang_has_reservation: false,
+            is_gang_reservation_made: false,
         }
     }
 
-    /// Whether no machine has room for any waiting task.
+    /// Whether no schedulable machine has enough free capacity for any pending task.
     pub(crate) fn has_no_candidates(&self) -> bool {
         self.candidates.is_empty()
     }
 
-    /// Decides on the tasks of a job. None if it wasn't tried, as a like job found no room before.
+    /// Chooses machines for the pending tasks of a job. Returns None if the job is not tried because a similar one
+    /// failed earlier in this pass.
     ///
-    /// The assignments are to be carried out before the next job is decided on.
+    /// The caller must carry out the assignments before the next call, so that the `view` of that call includes them.
     pub(crate) fn place(
         &mut self,
         view: &SchedulingView<'_>,
@@ -133,18 +142,18 @@
         } else {
             view.place_array(index, &mut self.candidates)
         };
-        if let Some(shortfall) = placement.shortfall {
+        if let Some(unplaced_reason) = placement.unplaced_reason {
             if !job.is_gang() {
-                let left = job.pending_tasks() - placement.assignments.len() as u32;
-                view.reserve_gaps(job, left, &mut self.candidates);
+                let unplaced_tasks = job.pending_tasks() - placement.assignments.len() as u32;
+                view.reserve_gaps(job, unplaced_tasks, &mut self.candidates);
             }
-            if !self.gang_has_reservation && view.is_gathering_machines(job) {
-                self.gang_has_reservation = view.reserve_for_gang(job, &mut self.candidates);
+            if !self.is_gang_reservation_made && view.is_in_reservation_window(job) {
+                self.is_gang_reservation_made = view.reserve_for_gang(job, &mut self.candidates);
             }
             self.failed.push(FailedPlacement {
                 spec: job.spec.clone(),
                 tasks_at_once,
-                shortfall,
+                unplaced_reason,
             });
         }
         Some(placement.assignments)
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,26 +1,27 @@
-//! Preemption: work of lower priority is stopped so that other work finds room.
+//! Preemption: attempts of lower priority are stopped to free machines for large tasks.
 //!
-//! Only large work needs it: small work takes what comes free as other small tasks end, in order.
+//! Only large tasks need preemption. Small tasks are placed, in the scheduling order, in the capacity that other small
+//! tasks free when they end.
 
 use crate::fleet::{AttemptKey, Fleet, Machine};
 use crate::jobs::MachineIndex;
 use crate::jobs::job_table::JobTable;
 use crate::protocol::users::Priority;
 
-/// Large work that waits, and the machines that are kept for large work.
+/// Large tasks that wait for machines, and the machines that are kept for large tasks.
 #[derive(Debug)]
 pub(crate) struct PreemptionRequest {
-    /// The priority of the work that waits: only what is below it is stopped.
+    /// The priority of the waiting tasks. Only attempts of a lower priority are stopped.
     pub(crate) priority: Priority,
-    /// How many of its tasks wait.
+    /// The number of waiting tasks.
     pub(crate) waiting_tasks: usize,
-    /// How many of the machines have nothing on them.
+    /// The number of machines kept for large tasks that are up and run no tasks.
     pub(crate) ready_machines: usize,
-    /// The machines that have small tasks on them, in the order in which they are to be cleared.
+    /// The machines kept for large tasks that run small tasks, in the order in which they are to be emptied.
     pub(crate) occupied_machines: Vec<MachineIndex>,
 }
 
-/// An attempt to be stopped.
+/// An attempt that preemption stops.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PreemptedAttempt {
     pub(crate) machine: MachineIndex,
@@ -28,39 +29,40 @@
     pub(crate) stop: PreemptionStop,
 }
 
-/// How an attempt is stopped.
+/// How a preempted attempt is stopped.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum PreemptionStop {
-    /// Its launch was never sent: it is released at once.
+    /// The leader releases the attempt at once, because its launch was never sent.
     Release,
-    /// The worker stops it, with so many seconds to save a checkpoint.
+    /// The worker stops the attempt and allows it `grace_s` seconds to save a checkpoint.
     Evict { grace_s: f64 },
 }
 
 impl PreemptionRequest {
-    /// The attempts to be stopped: on as many machines as lack, and only where all is of lower priority.
+    /// Selects the attempts to stop. Considers one occupied machine for each waiting task without a ready machine, and
+    /// skips machines with any attempt of the same or a higher priority.
     pub(crate) fn select(&self, fleet: &Fleet, jobs: &JobTable) -> Vec<PreemptedAttempt> {
-        let lacking = self.waiting_tasks.saturating_sub(self.ready_machines);
+        let machines_needed = self.waiting_tasks.saturating_sub(self.ready_machines);
         self.occupied_machines
             .iter()
-            .take(lacking)
+            .take(machines_needed)
             .filter_map(|index| Some((*index, fleet.machines.get(index)?)))
-            .filter(|(_, machine)| self.may_clear(machine, jobs))
+            .filter(|(_, machine)| self.can_preempt_all(machine, jobs))
             .flat_map(|(index, machine)| attempts_to_stop(index, machine, jobs))
             .collect()
     }
 
-    /// Whether all that runs on a machine is of lower priority.
-    fn may_clear(&self, machine: &Machine, jobs: &JobTable) -> bool {
+    /// Whether all attempts on a machine that are not completed have a lower priority than the waiting tasks.
+    fn can_preempt_all(&self, machine: &Machine, jobs: &JobTable) -> bool {
         machine.attempts.iter().all(|(key, task_attempt)| {
             task_attempt.completed || jobs[&key.job].spec.priority < self.priority
         })
     }
 }
 
-/// The attempts on a machine that are neither completed nor being stopped.
+/// Returns the attempts on a machine that are neither completed nor already being stopped.
 fn attempts_to_stop(
-    index: MachineIndex,
+    machine_index: MachineIndex,
     machine: &Machine,
     jobs: &JobTable,
 ) -> impl Iterator<Item = PreemptedAttempt> {
@@ -69,7 +71,7 @@
         .iter()
         .filter(|(_, task_attempt)| !task_attempt.completed && task_attempt.stop_grace_s.is_none())
         .map(move |(key, task_attempt)| PreemptedAttempt {
-            machine: index,
+            machine: machine_index,
             key: *key,
             stop: if task_attempt.is_unsent() {
                 PreemptionStop::Release
--- a/src/scheduler/pricing.rs
+++ b/src/scheduler/pricing.rs
@@ -18,23 +18,24 @@
 /// The load of a machine, and the price that the rule gives it.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineLoad {
-    /// All that the machine has.
+    /// The total resources of the machine.
     pub capacity: Resources,
-    /// What tasks take of it.
+    /// The resources that tasks take.
     pub used: Resources,
-    /// The dual price β, without unit.
+    /// The dual price β, dimensionless.
     pub price: f64,
 }
 
 impl MachineLoad {
-    /// What no task takes.
+    /// The resources that no task takes.
     pub fn free(&self) -> Resources {
         self.capacity.minus(self.used)
     }
 }
 
 impl PricingRule {
-    /// φ = J/ρ. D/Q is one over the weight of a task's job, and the lowest class weighs 1: J is 1.
+    /// Creates the rule with φ = J/ρ. J is 1, because D/Q is the reciprocal of the weight of a task's job, and the
+    /// lowest weight is 1. `large_share` is the dominant share of a machine above which a task counts as large there.
     pub fn new(rho: f64, large_share: f64) -> PricingRule {
         PricingRule {
             phi: 1.0 / rho,
@@ -42,23 +43,24 @@
         }
     }
 
-    /// Whether a demand takes so much of a machine of this capacity that it counts as large there.
+    /// Whether a task of this demand counts as large on a machine of this capacity.
     pub fn is_large(&self, demand: Resources, capacity: Resources) -> bool {
         demand.largest_share(capacity) > self.large_share
     }
 
-    /// The price of a machine from its load alone, given as dominant share: for loads whose history is not known.
+    /// Computes the price of a machine from its dominant share alone, for a load whose history of placements is
+    /// unknown.
     pub fn price_of_load(&self, dominant_share: f64) -> f64 {
         (dominant_share.exp() - 1.0) / self.phi
     }
 
-    /// The price after one more placement that raises the dominant share by `rise`.
-    pub fn price_after_placement(&self, price: f64, rise: f64) -> f64 {
-        price * (1.0 + rise) + rise / self.phi
+    /// Computes the price after one more placement, which raises the dominant share by `share_increase`.
+    pub fn price_after_placement(&self, price: f64, share_increase: f64) -> f64 {
+        price * (1.0 + share_increase) + share_increase / self.phi
     }
 
-    /// The rank of a machine in the choice for a task of this demand, whose job has this weight: the lowest is chosen.
-    /// None if the machine has no room, or if the task would cost 1 or more there.
+    /// Ranks a machine for a task of this demand, whose job has this weight: the machine with the lowest rank is
+    /// chosen. Returns None if the machine has too little free capacity, or if the task would cost 1 or more there.
     pub fn selection_rank(
         &self,
         demand: Resources,
@@ -70,21 +72,21 @@
             return None;
         }
         // Large tasks go to the fullest machine that they fit (best fit), all others to the cheapest.
-        let large = self.is_large(demand, load.capacity);
-        Some(if large {
+        Some(if self.is_large(demand, load.capacity) {
             -load.used.largest_share(load.capacity) - 1.0
         } else {
             cost
         })
     }
 
-    /// The load of a machine with one more task of this demand.
+    /// Computes the load of a machine with one more task of this demand.
     pub fn load_with_task(&self, demand: Resources, load: &MachineLoad) -> MachineLoad {
         let used = load.used.plus(demand);
-        let rise = used.largest_share(load.capacity) - load.used.largest_share(load.capacity);
+        let share_increase =
+            used.largest_share(load.capacity) - load.used.largest_share(load.capacity);
         MachineLoad {
             used,
-            price: self.price_after_placement(load.price, rise),
+            price: self.price_after_placement(load.price, share_increase),
             ..*load
         }
     }
--- a/src/scheduler/zone_constraint.rs
+++ b/src/scheduler/zone_constraint.rs
@@ -7,42 +7,46 @@
 use crate::protocol::users::Submission;
 use crate::scheduler::pass::SchedulingView;
 
-/// Into which zones further tasks of a job may go.
+/// Decides in which zones further tasks of a job may be placed.
 pub(super) struct ZoneConstraint {
     one_zone: bool,
-    /// The most tasks in any zone, for a job that must be spread.
-    zone_max: Option<u32>,
+    /// The maximum number of tasks in each zone, for a job that must be spread.
+    max_tasks_per_zone: Option<u32>,
     tasks_by_zone: HashMap<Rc<str>, u32>,
 }
 
 impl ZoneConstraint {
-    /// The constraint of a job that has so many tasks in each zone.
+    /// Creates the constraint for a job. `tasks_by_zone` is the number of its tasks that are already placed in each
+    /// zone.
     pub(super) fn new(spec: &Submission, tasks_by_zone: HashMap<Rc<str>, u32>) -> Self {
         ZoneConstraint {
             one_zone: spec.one_zone,
-            zone_max: spec.spread.then(|| spec.tasks.div_ceil(2)),
+            max_tasks_per_zone: spec.spread.then(|| spec.tasks.div_ceil(2)),
             tasks_by_zone,
         }
     }
 
-    /// Whether the next task may go into this zone.
+    /// Whether the next task may be placed in this zone.
     pub(super) fn allows(&self, zone: &Rc<str>) -> bool {
-        let elsewhere = self.tasks_by_zone.keys().any(|z| z != zone);
-        let in_zone = self.tasks_by_zone.get(zone).copied().unwrap_or(0);
-        !(self.one_zone && elsewhere) && self.zone_max.is_none_or(|max| in_zone < max)
+        let has_tasks_elsewhere = self.tasks_by_zone.keys().any(|other| other != zone);
+        let tasks_in_zone = self.tasks_by_zone.get(zone).copied().unwrap_or(0);
+        !(self.one_zone && has_tasks_elsewhere)
+            && self
+                .max_tasks_per_zone
+                .is_none_or(|max| tasks_in_zone < max)
     }
 
-    /// A task went into this zone.
-    pub(super) fn add(&mut self, zone: &Rc<str>) {
-        if self.one_zone || self.zone_max.is_some() {
+    /// Records that a task was placed in this zone.
+    pub(super) fn add_task(&mut self, zone: &Rc<str>) {
+        if self.one_zone || self.max_tasks_per_zone.is_some() {
             *self.tasks_by_zone.entry(zone.clone()).or_insert(0) += 1;
         }
     }
 }
 
 impl SchedulingView<'_> {
-    /// How many tasks of a job are or may be in each zone, those of earlier attempts included. Empty for a job without
-    /// such a constraint.
+    /// Returns how many attempts at a job's tasks are or may be in each zone, earlier ones included, completed ones
+    /// excluded. Empty for a job without a zone constraint.
     pub(super) fn tasks_by_zone(&self, index: JobIndex) -> HashMap<Rc<str>, u32> {
         let mut tasks_by_zone = HashMap::new();
         let spec = &self.jobs[&index].spec;
