--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -55,6 +55,6 @@
 
     /// Recomputes [`Scheduler::image_prevalence`] from the fleet.
     pub(crate) fn update_image_prevalence(&mut self, fleet: &Fleet, now: Time) {
-        self.image_prevalence = ImagePrevalence::count(fleet, now);
+        self.image_prevalence = ImagePrevalence::from_fleet(fleet, now);
     }
 }
--- a/src/scheduler/arrays.rs
+++ b/src/scheduler/arrays.rs
@@ -7,8 +7,8 @@
 use crate::scheduler::pass::{Assignment, Placement, SchedulingView, UnplacedReason};
 use crate::scheduler::zone_constraint::ZoneConstraint;
 
-/// The largest dominant share of a machine for which a gap is reserved there: a reservation for a larger task would
-/// leave too much of the machine unused for too long.
+/// Gaps are reserved only for tasks whose dominant share of the machine is at most this: a reservation for a larger
+/// task would leave too much of the machine unused for too long.
 const GAP_TASK_SHARE_MAX: f64 = 0.125;
 
 impl SchedulingView<'_> {
@@ -49,8 +49,8 @@
         placement
     }
 
-    /// Reserves the gap on one shared machine for each task of a job that could not be placed: later jobs of this pass
-    /// don't get the free capacity of these machines, so that it can grow until a task fits.
+    /// Reserves one shared machine for each task of a job that could not be placed. Later jobs of this pass don't get
+    /// its free capacity (the gap), which can therefore grow until the task fits.
     ///
     /// Without the reservation, small tasks take each gap as soon as it is free on a full fleet, and urgent tasks that
     /// need slightly more wait for minutes.
--- a/src/scheduler/candidate_queue.rs
+++ b/src/scheduler/candidate_queue.rs
@@ -1,6 +1,6 @@
 //! Selects machines for the tasks of a job, one after the other, by the pricing rule (bin packing).
 //!
-//! With some thousand machines, a scan of all of them for each task would use up the leader's CPU share. The queue
+//! With a few thousand machines, a scan of all of them for each task would use up the leader's CPU share. The queue
 //! scans them once for each job; each task then costs little more than the update of the machine that it goes to.
 
 use std::cmp::Ordering;
@@ -9,7 +9,8 @@
 use crate::resources::Resources;
 use crate::scheduler::pricing::{MachineLoad, PricingRule};
 
-/// The tier of a machine. Tiers take precedence over prices: the lowest comes first, by the fields in this order.
+/// The tier of a machine. Tiers take precedence over prices. The lowest tier comes first; fields are compared in this
+/// order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CandidateTier {
     /// Whether the machine is a spot machine that the job avoids: a step of a chain with a deadline has no time to
@@ -21,7 +22,7 @@
     pub borrowed: bool,
 }
 
-/// Machines count as equally cheap if their price per CPU is at most this multiple of the lowest in their tier.
+/// Machines count as equally cheap if their rental price per CPU is at most this multiple of the lowest in their tier.
 const PRICE_TOLERANCE_RATIO: f64 = 1.6;
 
 /// A machine in the queue.
@@ -56,11 +57,11 @@
 
 impl Eq for RankedCandidate {}
 
-/// The key of a group of machines with the same tier and price per CPU. Groups are ordered by tier, then by price.
+/// The key of a group of machines with the same tier and rental price per CPU, ordered by tier, then by price.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PriceGroup {
     tier: CandidateTier,
-    /// The bits of the price as an `f64`: for positive numbers, the bits have the same order as the numbers.
+    /// The bits of the rental price per CPU as an `f64`: the bits of positive numbers have the order of the numbers.
     unit_price_bits: u64,
 }
 
@@ -90,7 +91,7 @@
 pub struct Selection {
     /// The index under which the machine was pushed.
     pub candidate_index: usize,
-    /// The load and price of the machine with the task on it.
+    /// The load and dual price of the machine with the task on it.
     pub load_after: MachineLoad,
 }
 
@@ -127,9 +128,9 @@
         self.has_slow_fetch
     }
 
-    /// Adds a machine unless the pricing rule refuses it. `unit_price` is its price per CPU and must be positive.
-    /// `wait_level_once_requested` replaces [`CandidateTier::image_wait_level`] after the first task is placed there,
-    /// since that task has then requested the image.
+    /// Adds a machine unless the pricing rule refuses it. `unit_price` is its rental price per CPU and must be
+    /// positive. `wait_level_once_requested` replaces [`CandidateTier::image_wait_level`] after the first task is
+    /// placed there, since that task has then requested the image.
     pub fn push(
         &mut self,
         candidate_index: usize,
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -21,6 +21,7 @@
     pub(super) type_index: usize,
     pub(super) role: MachineRole,
     /// Small tasks of jobs below this priority may borrow the machine although it is kept for large tasks.
+    /// None if no job may, and for shared machines.
     pub(super) borrowing_priority_limit: Option<Priority>,
     /// The rental price of the machine per CPU.
     pub(super) unit_price: f64,
@@ -51,8 +52,8 @@
 }
 
 impl TypeSuitability {
-    /// Whether tasks of the job, which has this priority, may use a machine of this type. Small tasks may not fragment
-    /// machines kept for large tasks unless these are lent; large tasks may also use shared machines.
+    /// Whether tasks of a job with this priority may use a machine, which must be of this type. Small tasks may not
+    /// fragment machines kept for large tasks unless these are lent; large tasks may also use shared machines.
     fn admits(&self, candidate: &CandidateMachine, priority: Priority) -> bool {
         let is_lent = candidate
             .borrowing_priority_limit
@@ -62,8 +63,9 @@
 }
 
 impl SchedulingView<'_> {
-    /// Returns the schedulable machines with enough free capacity for the smallest pending task. With a large backlog
-    /// nearly all machines are full, and visiting these for each waiting job would use up the leader's CPU share.
+    /// Returns the schedulable machines that may have enough free capacity for a pending task: of each resource, at
+    /// least the smallest amount that a task of any waiting job needs. With a large backlog nearly all machines are
+    /// full, and visiting these for each waiting job would use up the leader's CPU share.
     pub(super) fn candidates(
         &self,
         borrowing_priority_limit: impl Fn(usize) -> Option<Priority>,
@@ -130,9 +132,11 @@
         }
     }
 
-    /// Returns the machines that a job may use as a queue, from which the pricing rule selects. Cheap machines come
-    /// first, so that expensive ones become empty and can be returned. Borrowed machines come last, because tasks there
-    /// may be preempted.
+    /// Returns the queue from which the pricing rule selects machines for a job. It holds the machines that the job may
+    /// use and that `is_eligible` accepts.
+    ///
+    /// Within a [`CandidateTier`], cheap machines come first, so that expensive ones become empty and can be returned.
+    /// Borrowed machines come after others that are in the same tier otherwise, because tasks there may be preempted.
     pub(super) fn candidate_queue(
         &self,
         job: &Job,
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -85,9 +85,10 @@
         job.is_gang() && RESERVATION_WINDOW_RATIO.contains(&(wait_ratio % RESERVATION_PERIOD_RATIO))
     }
 
-    /// Reserves the machines with free capacity for a task of a gang, which withholds them from later jobs of this
-    /// pass. Replaces the gap reservations made earlier in the pass. Returns false and changes nothing if the
-    /// schedulable machines could not hold the gang even when empty.
+    /// Reserves the machines that suit a gang and have free capacity for at least one of its tasks: later jobs of this
+    /// pass don't get them. For a gang that must run in one zone, these are machines of the zone with the largest
+    /// capacity. The reservation replaces the gap reservations made earlier in the pass. Returns false and changes
+    /// nothing if the schedulable machines could not hold the gang even if they were empty.
     ///
     /// Without the reservation, small gangs take each large machine as soon as it is free, and gangs of sixteen tasks
     /// wait for minutes.
@@ -134,8 +135,9 @@
         capacity_by_zone
     }
 
-    /// Whether a gang's tasks may use machines of a type and role. Tasks that count as large on the type use only
-    /// machines that are kept for large tasks.
+    /// Whether machines of a type and role count as capacity for a gang, and are reserved for it. If its tasks are
+    /// large on the type, only machines kept for large tasks count, although the tasks may also be placed on shared
+    /// ones.
     fn suits_gang(&self, job: &Job, type_index: usize, role: MachineRole) -> bool {
         let capacity = self.catalog.capacity(type_index);
         is_type_allowed(&job.spec, &self.catalog[type_index])
--- a/src/scheduler/image_locality.rs
+++ b/src/scheduler/image_locality.rs
@@ -33,7 +33,7 @@
 
 impl ImagePrevalence {
     /// Computes the prevalence of all images that the schedulable machines of a fleet have or fetch.
-    pub(super) fn count(fleet: &Fleet, now: Time) -> Self {
+    pub(super) fn from_fleet(fleet: &Fleet, now: Time) -> Self {
         let mut share_by_image: HashMap<Rc<str>, f64> = HashMap::new();
         let schedulable = fleet
             .machines
@@ -155,7 +155,7 @@
         };
         let remaining_s = machine.image_cache.remaining_fetch_s(&spec.image, self.now);
         if policy.is_gang {
-            // Prefers machines that have or fetch the image: another fetch may take longer than a gang should wait.
+            // Gangs prefer machines that have or fetch the image: a new fetch may take longer than a gang should wait.
             return Some(ImageWaitLevels::same(u8::from(remaining_s.is_none())));
         }
         let uncontended_s = uncontended_fetch_s(
--- a/src/scheduler/order.rs
+++ b/src/scheduler/order.rs
@@ -10,7 +10,7 @@
 use crate::scheduler::LARGE_JOB_START_TARGET_S;
 use crate::scheduler::pass::SchedulingView;
 
-/// Factor on the mean run time of a job's tasks to allow for the variation of run times.
+/// Factor on the expected run time of a job's tasks to allow for the variation of run times.
 const RUN_TIME_MARGIN: f64 = 1.3;
 /// Seconds by which a job moves back in the order for each second that it would occupy the whole fleet.
 const SIZE_DELAY_RATIO: f64 = 60.0;
@@ -23,7 +23,7 @@
 /// The highest rank of a priority, see [`priority_rank`].
 const HIGHEST_PRIORITY_RANK: usize = 3;
 
-/// The sort key of a waiting job: the lowest is placed first, by the fields in this order.
+/// The sort key of a waiting job. The job with the lowest key is placed first; fields are compared in this order.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SchedulingKey {
     /// 0 for the highest priority.
@@ -80,7 +80,7 @@
             .filter(|(_, job)| job.end.is_none() && !job.is_blocked)
             .collect();
         unfinished.sort_by_key(|(_, job)| job.acceptance_order);
-        // The demand of each team's jobs that were accepted up to the current one, covered or not.
+        // For each team, the total demand of its jobs up to the current one, covered or not.
         let mut demand_by_team: HashMap<usize, Resources> = HashMap::new();
         for (index, job) in unfinished {
             let tasks_left = f64::from(job.spec.tasks - job.done_tasks);
@@ -98,7 +98,8 @@
     /// depend on it.
     ///
     /// A job that missed all of them comes after the jobs that can still meet theirs. To keep it from waiting
-    /// indefinitely, it is due again [`OVERDUE_RATIO`] times its longest objective after it was ready.
+    /// indefinitely, it is due again [`OVERDUE_RATIO`] times its longest objective after it was ready. A job to which
+    /// no objective applies is due when it is ready.
     fn latest_start(&self, job: &Job) -> Time {
         let run_s = self.autoscaler.expected_run_s(job) * RUN_TIME_MARGIN;
         let team = &self.config.deployment.teams[job.team];
@@ -127,8 +128,8 @@
         most_urgent.min(job.ready_at + longest_s * OVERDUE_RATIO)
     }
 
-    /// Returns by how many seconds a job moves back in the order because of its size; 0 for gangs. If not all jobs can
-    /// meet their objectives, more of them do on the same machines when the small ones go first.
+    /// Returns by how many seconds a job moves back in the order because of its size; 0 for gangs. If the machines
+    /// don't suffice for all jobs to meet their objectives, more jobs meet them when small ones go first.
     fn size_delay_s(&self, job: &Job, fleet_cpus: f64) -> f64 {
         if job.is_gang() {
             return 0.0;
@@ -150,7 +151,8 @@
 }
 
 impl StartTarget {
-    /// Returns None if the objective doesn't apply to the job. `run_s` is the expected run time of the job's class.
+    /// Returns None if the objective doesn't apply to the job. `run_s` is the expected run time of the job's class,
+    /// including [`RUN_TIME_MARGIN`].
     fn new(objective: &Objective, job: &Job, team: &Team, run_s: f64) -> Option<Self> {
         let applies_to_class = objective.class.as_deref() == Some(&job.spec.class);
         let is_start_objective = match objective.kind {
@@ -164,8 +166,8 @@
         }
         let within_s = objective.completion_target_s(&job.spec)?;
         let run_s = if objective.kind == ObjectiveKind::Deadline {
-            // The owner derives a deadline from the estimate for this very job, so the estimate counts as well as the
-            // expected run time of the class: their geometric mean is used.
+            // A deadline is based on the owner's estimate, which is specific to this job. Hence both the estimate and
+            // the run time of the class count, by their geometric mean.
             (run_s * job.spec.estimate_s.max(0.0)).sqrt()
         } else {
             run_s
--- a/src/scheduler/pass.rs
+++ b/src/scheduler/pass.rs
@@ -68,10 +68,10 @@
     pub(super) unplaced_reason: Option<UnplacedReason>,
 }
 
-/// A job with tasks that could not be placed in this pass. Jobs that need at least as much are not tried after it.
+/// A job with tasks that could not be placed. Later jobs that need at least as much are not tried in the same pass.
 struct FailedPlacement {
     spec: Rc<Submission>,
-    /// The number of tasks that have to be placed together: all of a gang's, 1 for an array.
+    /// The number of tasks that have to be placed together: all tasks of a gang, 1 for an array.
     tasks_at_once: u32,
     unplaced_reason: UnplacedReason,
 }
@@ -98,13 +98,14 @@
     candidates: Vec<CandidateMachine>,
     failed: Vec<FailedPlacement>,
     /// Whether machines are already reserved for a gang. A pass reserves machines for at most one gang.
-    is_gang_reservation_made: bool,
+    has_gang_reservation: bool,
 }
 
 impl SchedulingPass {
-    /// Starts a pass with the current state of the machines. For the index of a machine type,
-    /// `borrowing_priority_limit` returns below which priority jobs may borrow the machines that are kept for large
-    /// tasks, or None if no job may.
+    /// Starts a pass with the current state of the machines.
+    ///
+    /// `borrowing_priority_limit` takes the index of a machine type. Jobs of a priority below the returned one may
+    /// borrow the machines of this type that are kept for large tasks. None means that no job may.
     pub(crate) fn new(
         view: &SchedulingView<'_>,
         borrowing_priority_limit: impl Fn(usize) -> Option<Priority>,
@@ -112,11 +113,12 @@
         SchedulingPass {
             candidates: view.candidates(borrowing_priority_limit),
             failed: Vec::new(),
-            is_gang_reservation_made: false,
+            has_gang_reservation: false,
         }
     }
 
-    /// Whether no schedulable machine has enough free capacity for any pending task.
+    /// Whether the pass has no candidate machines. In this case, no schedulable machine has enough free capacity for
+    /// any pending task.
     pub(crate) fn has_no_candidates(&self) -> bool {
         self.candidates.is_empty()
     }
@@ -147,8 +149,8 @@
                 let unplaced_tasks = job.pending_tasks() - placement.assignments.len() as u32;
                 view.reserve_gaps(job, unplaced_tasks, &mut self.candidates);
             }
-            if !self.is_gang_reservation_made && view.is_in_reservation_window(job) {
-                self.is_gang_reservation_made = view.reserve_for_gang(job, &mut self.candidates);
+            if !self.has_gang_reservation && view.is_in_reservation_window(job) {
+                self.has_gang_reservation = view.reserve_for_gang(job, &mut self.candidates);
             }
             self.failed.push(FailedPlacement {
                 spec: job.spec.clone(),
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,7 +1,7 @@
 //! Preemption: attempts of lower priority are stopped to free machines for large tasks.
 //!
-//! Only large tasks need preemption. Small tasks are placed, in the scheduling order, in the capacity that other small
-//! tasks free when they end.
+//! Only large tasks need preemption. Small tasks use the capacity that other small tasks free when they end, in the
+//! scheduling order.
 
 use crate::fleet::{AttemptKey, Fleet, Machine};
 use crate::jobs::MachineIndex;
--- a/src/scheduler/pricing.rs
+++ b/src/scheduler/pricing.rs
@@ -1,8 +1,9 @@
 //! The placement rule PD-VMP (primal-dual virtual machine placement, Section V of the paper that docs/design.md
 //! cites), as pure arithmetic: no input or output, no knowledge of jobs.
 //!
-//! Each machine has a dual price β that rises with its load. A task goes to the machine where (D/Q) β is least, and is
-//! refused where that is 1 or more.
+//! Each machine has a dual price β that rises with its load. The cost of a task on a machine is (D/Q) β, where D/Q is
+//! the reciprocal of the weight of the task's job. A task goes to the machine where its cost is least, and is refused
+//! where the cost is 1 or more.
 
 use crate::resources::Resources;
 
@@ -34,8 +35,8 @@
 }
 
 impl PricingRule {
-    /// Creates the rule with φ = J/ρ. J is 1, because D/Q is the reciprocal of the weight of a task's job, and the
-    /// lowest weight is 1. `large_share` is the dominant share of a machine above which a task counts as large there.
+    /// Creates the rule with φ = J/ρ. J is 1: the lowest weight is 1, so D/Q is at most 1. `large_share` is the
+    /// dominant share of a machine above which a task counts as large there.
     pub fn new(rho: f64, large_share: f64) -> PricingRule {
         PricingRule {
             phi: 1.0 / rho,
@@ -71,7 +72,8 @@
         if !demand.fits(load.free()) || cost >= 1.0 {
             return None;
         }
-        // Large tasks go to the fullest machine that they fit (best fit), all others to the cheapest.
+        // Large tasks go to the fullest machine that they fit (best fit), all others to the cheapest. The rank of a
+        // machine on which the task is large is at most -1, and so below all costs.
         Some(if self.is_large(demand, load.capacity) {
             -load.used.largest_share(load.capacity) - 1.0
         } else {
--- a/src/scheduler/pricing/tests.rs
+++ b/src/scheduler/pricing/tests.rs
@@ -68,7 +68,8 @@
 }
 
 /// Guards against a ρ at which the rule refuses tasks although machines have free capacity. This happens if a nearly
-/// full machine gets a price of 1 or more, the limit for a job of weight 1: 0.579 is low enough, 0.6 is too high.
+/// full machine gets a price of 1 or more, the limit for a job of weight 1: 0.579 is low enough, 0.6 is too high. The
+/// upper bound `RHO_MAX` of the setting is between the two.
 #[test]
 fn no_task_is_refused_while_a_machine_has_free_capacity() {
     let rule = PricingRule::new(0.579, 0.5);
@@ -80,7 +81,8 @@
     assert!(too_steep_rule.price_of_load(1.0) > 1.0);
 }
 
-/// Guards against large tasks that fragment empty machines: they are placed by best fit, small tasks by price.
+/// Guards against a large task that takes an emptier machine although it fits a fuller one: large tasks are placed by
+/// best fit, small tasks by price.
 #[test]
 fn large_tasks_use_the_fullest_machine_that_they_fit() {
     let rule = PricingRule::new(0.5, 0.5);
--- a/src/scheduler/zone_constraint.rs
+++ b/src/scheduler/zone_constraint.rs
@@ -10,7 +10,8 @@
 /// Decides in which zones further tasks of a job may be placed.
 pub(super) struct ZoneConstraint {
     one_zone: bool,
-    /// The maximum number of tasks in each zone, for a job that must be spread.
+    /// The maximum number of tasks in each zone, for a job that must be spread: half of its tasks, rounded up. None for
+    /// other jobs.
     max_tasks_per_zone: Option<u32>,
     tasks_by_zone: HashMap<Rc<str>, u32>,
 }
@@ -45,8 +46,8 @@
 }
 
 impl SchedulingView<'_> {
-    /// Returns how many attempts at a job's tasks are or may be in each zone, earlier ones included, completed ones
-    /// excluded. Empty for a job without a zone constraint.
+    /// Returns the number of attempts of a job's tasks that are or may be on the machines of each zone. Earlier
+    /// attempts count, completed ones don't. Empty for a job without a zone constraint.
     pub(super) fn tasks_by_zone(&self, index: JobIndex) -> HashMap<Rc<str>, u32> {
         let mut tasks_by_zone = HashMap::new();
         let spec = &self.jobs[&index].spec;
