--- a/src/tests/scenarios.rs
+++ b/src/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Failure scenarios of the leader's state machine with a simulated clock, an in-memory state service and scripted
-//! workers.
+//! Failure scenarios of the leader's state machine: simulated clock, in-memory state service, scripted workers. Nothing
+//! runs concurrently: each test calls the leader at the moments that it chooses, in seconds.
 
 mod direct_commands;
 mod machines;
@@ -15,11 +15,12 @@
 use crate::protocol::workers::Command;
 use crate::test_support::{FakeStore, FakeWorker, job};
 
-fn count_starts(commands: &[Command]) -> usize {
-    let start = |c: &&Command| matches!(c, Command::Start { .. });
-    commands.iter().filter(start).count()
+fn count_launches(commands: &[Command]) -> usize {
+    let is_launch = |command: &&Command| matches!(command, Command::Start { .. });
+    commands.iter().filter(is_launch).count()
 }
 
+/// A gang of large tasks: a machine of type `small` has capacity for only one.
 fn gang(id: &str, tasks: u32) -> Submission {
     Submission {
         kind: JobKind::Gang,
@@ -28,25 +29,28 @@
     }
 }
 
-/// Sends heartbeats until the leader knows that the worker has seen its fencing token.
+/// Sends two heartbeats: the reply to the first carries the leader's fencing token, and the second shows the leader that
+/// the worker has seen it. The leader assigns tasks to a machine only after that.
 fn exchange_heartbeats(worker: &mut FakeWorker, leader: &mut Leader, now: f64) {
     worker.send_heartbeat(leader, now);
     worker.send_heartbeat(leader, now);
 }
 
-/// A job whose assignment is stored but not launched yet, on a machine whose worker has seen the leader's token.
-fn store_with_placed_job(spec: &Submission) -> (FakeStore, Leader, FakeWorker) {
+/// Submits a job and stores its assignments to one machine, whose worker has seen the leader's fencing token. No launch
+/// has been sent yet.
+fn assign_without_launch(spec: &Submission) -> (FakeStore, Leader, FakeWorker) {
     let mut store = FakeStore::default();
     store.submit(spec);
     let mut leader = store.elect("n0", 0.0);
-    let mut w = FakeWorker::new("i-1", "small", "north");
-    exchange_heartbeats(&mut w, &mut leader, 1.0);
+    let mut worker = FakeWorker::new("i-1", "small", "north");
+    exchange_heartbeats(&mut worker, &mut leader, 1.0);
     store.schedule_and_write(&mut leader, 2.0);
-    (store, leader, w)
+    (store, leader, worker)
 }
 
-/// The names of the machines that a leader returns to the cloud next, if any.
-fn returned_machines(leader: &mut Leader, now: f64) -> Vec<String> {
+/// Answers the leader's cloud calls with failures up to the first that deletes (returns) machines, and gives the names of
+/// these machines. The deletion itself gets no answer. The result is empty if the leader deletes nothing.
+fn fail_cloud_calls_until_deletion(leader: &mut Leader, now: f64) -> Vec<String> {
     while let Some(call) = leader.next_cloud_call(now) {
         match call {
             CloudCall::Delete(names) => return names,
--- a/src/tests/scenarios/machines.rs
+++ b/src/tests/scenarios/machines.rs
@@ -1,116 +1,132 @@
-//! Machines that are silent, unresponsive, faulty or returned.
+//! Silent, unresponsive, faulty and returned machines.
 
-use super::{count_starts, exchange_heartbeats, gang, returned_machines, store_with_placed_job};
+use super::{
+    assign_without_launch, count_launches, exchange_heartbeats, fail_cloud_calls_until_deletion,
+    gang,
+};
 use crate::autoscaler::{CloudAnswer, CloudCall};
-use crate::fleet::HeartbeatOrigin;
+use crate::fleet::{HeartbeatOrigin, TaskAttempt};
 use crate::protocol::workers::ExitReason;
 use crate::runtime::ProcessPause;
 use crate::test_support::{FakeStore, FakeWorker, job};
 
+/// A machine on which tasks of several jobs fail is quarantined. A job whose tasks fail on every machine is at fault
+/// itself: if that counted against the machines, a single such job would quarantine the whole fleet.
 #[test]
-fn a_machine_with_repeated_failures_is_quarantined_but_not_for_one_bad_job() {
+fn a_machine_is_quarantined_for_failures_of_several_jobs_but_not_of_one_faulty_job() {
     let mut store = FakeStore::default();
     for i in 1..=3 {
         store.submit(&job(&format!("j-{i}"), 1));
     }
     let mut leader = store.elect("n0", 0.0);
-    let mut w = FakeWorker::new("i-1", "small", "north");
-    exchange_heartbeats(&mut w, &mut leader, 1.0);
+    let mut worker = FakeWorker::new("i-1", "small", "north");
+    exchange_heartbeats(&mut worker, &mut leader, 1.0);
     let mut now = 1.0;
     for _ in 0..30 {
         now += 3.0;
         store.schedule_and_write(&mut leader, now);
-        w.send_heartbeat(&mut leader, now);
-        for task in w.running() {
-            w.exit_task(&task, ExitReason::Error);
+        worker.send_heartbeat(&mut leader, now);
+        for task in worker.running() {
+            worker.exit_task(&task, ExitReason::Error);
         }
-        w.send_heartbeat(&mut leader, now);
+        worker.send_heartbeat(&mut leader, now);
     }
-    let m = leader.fleet.machines.values().next().unwrap();
-    assert!(m.quarantined);
+    let machine = leader.fleet.machines.values().next().unwrap();
+    assert!(machine.quarantined);
 
     let mut store = FakeStore::default();
     store.submit(&job("j-9", 1));
     let mut leader = store.elect("n0", 0.0);
-    let mut ws: Vec<FakeWorker> = (0..6)
+    let mut workers: Vec<FakeWorker> = (0..6)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
         .collect();
     let mut now = 1.0;
     for _ in 0..40 {
         now += 3.0;
-        for w in &mut ws {
-            w.send_heartbeat(&mut leader, now);
-            for task in w.running() {
-                w.exit_task(&task, ExitReason::Error);
+        for worker in &mut workers {
+            worker.send_heartbeat(&mut leader, now);
+            for task in worker.running() {
+                worker.exit_task(&task, ExitReason::Error);
             }
         }
         store.schedule_and_write(&mut leader, now);
     }
-    assert!(leader.fleet.machines.values().all(|m| !m.quarantined));
+    assert!(
+        leader
+            .fleet
+            .machines
+            .values()
+            .all(|machine| !machine.quarantined)
+    );
 }
 
-/// A leader that could reach no worker once returned half of its machines as lost.
+/// A leader that receives no heartbeats at all can't tell whether the machines or its own network failed. If it returned
+/// the silent machines as lost, a network fault of the leader alone would cost a large part of the fleet. One silent
+/// machine among others that send heartbeats is lost and returned.
 #[test]
 fn a_leader_without_heartbeats_keeps_its_machines_but_a_silent_machine_is_returned() {
-    for deaf in [true, false] {
+    for all_silent in [true, false] {
         let mut store = FakeStore::default();
         store.submit(&job("j-1", 30));
         let mut leader = store.elect("n0", 0.0);
         let mut workers: Vec<FakeWorker> = (0..8)
             .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
             .collect();
-        // Their last heartbeats are spread over an interval.
+        // The workers' last heartbeats are spread over a heartbeat interval.
         for round in 0..5 {
-            for (i, w) in workers.iter_mut().enumerate() {
+            for (i, worker) in workers.iter_mut().enumerate() {
                 let now = f64::from(round) * 3.0 + i as f64 * 0.35;
-                w.send_heartbeat(&mut leader, now);
+                worker.send_heartbeat(&mut leader, now);
                 leader.record_worker_contact(now);
             }
             store.schedule_and_write(&mut leader, f64::from(round) * 3.0 + 2.9);
         }
-        let mut gone = Vec::new();
+        let mut returned = Vec::new();
         for step in 0..40 {
             let now = 15.0 + f64::from(step) * 0.3;
-            if !deaf {
-                for w in &mut workers[1..] {
-                    w.send_heartbeat(&mut leader, now);
+            if !all_silent {
+                for worker in &mut workers[1..] {
+                    worker.send_heartbeat(&mut leader, now);
                     leader.record_worker_contact(now);
                 }
             }
             leader.maintain_fleet(now);
-            gone.extend(returned_machines(&mut leader, now));
+            returned.extend(fail_cloud_calls_until_deletion(&mut leader, now));
         }
-        gone.dedup();
-        assert_eq!(gone.is_empty(), deaf, "{gone:?}");
-        assert!(deaf || gone == ["i-0"], "{gone:?}");
+        returned.dedup();
+        assert_eq!(returned.is_empty(), all_silent, "{returned:?}");
+        assert!(all_silent || returned == ["i-0"], "{returned:?}");
     }
 }
 
-/// Heartbeats delayed by a network partition once brought back machines that had been deleted.
+/// A network partition may delay a heartbeat until after its machine was returned to the cloud. If the leader added the
+/// machine again, it would count a machine that no longer exists, and return it once more.
 #[test]
 fn a_late_heartbeat_does_not_restore_a_returned_machine() {
     let mut store = FakeStore::default();
     let mut leader = store.elect("n0", 0.0);
-    let mut w = FakeWorker::new("i-1", "small", "north");
-    exchange_heartbeats(&mut w, &mut leader, 1.0);
-    let late = w.next();
+    let mut worker = FakeWorker::new("i-1", "small", "north");
+    exchange_heartbeats(&mut worker, &mut leader, 1.0);
+    let late_heartbeat = worker.next();
     let names = vec!["i-1".to_owned()];
     leader.on_cloud_answer(CloudCall::Delete(names), CloudAnswer::Deleted, 5.0);
     assert!(leader.fleet.find("i-1").is_none());
     assert_eq!(
-        leader.on_heartbeat(&late, HeartbeatOrigin::Periodic, 20.0),
+        leader.on_heartbeat(&late_heartbeat, HeartbeatOrigin::Periodic, 20.0),
         None
     );
     assert!(leader.fleet.find("i-1").is_none());
 }
 
-/// After each failover surplus machines were once kept a minute longer, as if just rented.
+/// A new leader learns of a machine by its heartbeat, which doesn't show when the machine was rented. If the machine
+/// counted as newly rented, surplus machines would be kept for another minute after each failover. The cloud's machine
+/// list shows how long the machine has been held.
 #[test]
-fn the_machine_list_dates_the_rental_of_a_machine_known_by_heartbeat() {
+fn a_new_leader_takes_the_age_of_a_surplus_machine_from_the_machine_list() {
     let mut store = FakeStore::default();
     let mut leader = store.elect("n1", 100.0);
-    let mut w = FakeWorker::new("i-1", "small", "north");
-    exchange_heartbeats(&mut w, &mut leader, 101.0);
+    let mut worker = FakeWorker::new("i-1", "small", "north");
+    exchange_heartbeats(&mut worker, &mut leader, 101.0);
     let listed = r#"[{"Uid":"i-1","Addr":"127.0.0.1:9","Rig":"small","Yard":"north","Loaner":false,
         "Status":"running","HeldS":300.0}]"#;
     let call = CloudCall::List {
@@ -118,17 +134,18 @@
     };
     let answer = CloudAnswer::List(serde_json::from_str(listed).unwrap(), false);
     leader.on_cloud_answer(call, answer, 102.0);
-    let mut gone = Vec::new();
+    let mut returned = Vec::new();
     for now in 102..125 {
-        w.send_heartbeat(&mut leader, f64::from(now));
+        worker.send_heartbeat(&mut leader, f64::from(now));
         leader.record_worker_contact(f64::from(now));
         leader.maintain_fleet(f64::from(now));
-        gone.extend(returned_machines(&mut leader, f64::from(now)));
+        returned.extend(fail_cloud_calls_until_deletion(&mut leader, f64::from(now)));
     }
-    assert!(gone.contains(&"i-1".to_owned()));
+    assert!(returned.contains(&"i-1".to_owned()));
 }
 
-/// Its heartbeats arrive, our replies don't reach it: it must not be given tasks, and it must be returned.
+/// A machine's heartbeats arrive, but the leader's replies don't reach its worker. Tasks assigned to the machine would
+/// never start; the leader must assign none and return the machine.
 #[test]
 fn an_unresponsive_machine_gets_no_tasks_and_is_returned() {
     let mut store = FakeStore::default();
@@ -142,11 +159,12 @@
     store.schedule_and_write(&mut leader, 1.0);
     unresponsive.send_heartbeat(&mut leader, 1.5);
     assert_eq!(unresponsive.running().len(), 2);
-    // From now on it tries all controllers in turn, and its agent epoch ends.
+    // From now on the worker gets no replies and tries all controllers one after the other, so that this leader receives
+    // every second heartbeat. Later its agent epoch ends, and with it the two tasks.
     let mut now = 3.0;
-    let mut gone = Vec::new();
+    let mut returned = Vec::new();
     let mut agent_epochs = 1;
-    while gone.is_empty() {
+    while returned.is_empty() {
         now += 5.0;
         assert!(now < 60.0);
         if now > 20.0 && agent_epochs == 1 {
@@ -160,61 +178,65 @@
             HeartbeatOrigin::Periodic,
             now,
         );
-        for w in &mut others {
-            w.send_heartbeat(&mut leader, now);
+        for worker in &mut others {
+            worker.send_heartbeat(&mut leader, now);
         }
         leader.record_worker_contact(now);
         store.schedule_and_write(&mut leader, now);
         leader.maintain_fleet(now);
-        let m = &leader.fleet.machines[&leader.fleet.find("i-9").unwrap()];
-        assert!(m.attempts.values().all(|s| s.state.is_some()), "new work");
-        gone = returned_machines(&mut leader, now);
-        gone.retain(|name| name == "i-9");
+        let machine = &leader.fleet.machines[&leader.fleet.find("i-9").unwrap()];
+        let is_reported = |attempt: &TaskAttempt| attempt.state.is_some();
+        assert!(machine.attempts.values().all(is_reported), "new tasks");
+        returned = fail_cloud_calls_until_deletion(&mut leader, now);
+        returned.retain(|name| name == "i-9");
     }
     assert!(now < 30.0, "{now}");
 }
 
-/// A copy of the newest heartbeat has the same sequence number; its reply once carried launches that nobody received.
+/// The network may deliver a heartbeat twice. If the reply to the second copy carried launches, nobody would receive
+/// them, and the leader would take the tasks for launched. A copy from before a launch doesn't list the launched tasks:
+/// if the leader took it for new, it would free tasks that are running.
 #[test]
-fn late_copies_of_heartbeats_get_no_commands_and_free_nothing() {
+fn repeated_and_late_heartbeats_get_no_commands_and_free_no_tasks() {
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 2));
     let mut leader = store.elect("n0", 0.0);
-    let mut w = FakeWorker::new("i-1", "small", "north");
-    w.send_heartbeat(&mut leader, 1.0);
-    let old = w.next();
+    let mut worker = FakeWorker::new("i-1", "small", "north");
+    worker.send_heartbeat(&mut leader, 1.0);
+    let old_heartbeat = worker.next();
     let mut commands = leader
-        .on_heartbeat(&old, HeartbeatOrigin::Periodic, 1.5)
+        .on_heartbeat(&old_heartbeat, HeartbeatOrigin::Periodic, 1.5)
         .unwrap();
-    leader.append_reply_commands(&old, &mut commands);
+    leader.append_reply_commands(&old_heartbeat, &mut commands);
     store.schedule_and_write(&mut leader, 2.0);
     assert_eq!(
-        leader.on_heartbeat(&old, HeartbeatOrigin::Periodic, 2.1),
+        leader.on_heartbeat(&old_heartbeat, HeartbeatOrigin::Periodic, 2.1),
         None
     );
-    assert_eq!(count_starts(&w.send_heartbeat(&mut leader, 2.2)), 2);
-    w.send_heartbeat(&mut leader, 3.0);
-    // Long after a lease, the copy from before the launch arrives.
+    assert_eq!(count_launches(&worker.send_heartbeat(&mut leader, 2.2)), 2);
+    worker.send_heartbeat(&mut leader, 3.0);
+    // The copy from before the launch arrives again, also after the worker's lease has expired.
     for now in [4.0, 30.0, 60.0] {
         assert_eq!(
-            leader.on_heartbeat(&old, HeartbeatOrigin::Periodic, now),
+            leader.on_heartbeat(&old_heartbeat, HeartbeatOrigin::Periodic, now),
             None
         );
         assert_eq!(leader.jobs.values().next().unwrap().assigned_tasks, 2);
     }
-    // A new leader receives the copy first: it shows an older fencing token and frees nothing.
+    // For a new leader the copy is the first heartbeat of the machine. It shows an older fencing token and frees nothing.
     let mut new = store.elect("n1", 70.0);
-    new.on_heartbeat(&old, HeartbeatOrigin::Periodic, 71.0);
+    new.on_heartbeat(&old_heartbeat, HeartbeatOrigin::Periodic, 71.0);
     assert_eq!(new.jobs.values().next().unwrap().assigned_tasks, 2);
     store.schedule_and_write(&mut new, 71.5);
-    let m = new.fleet.machines.values().next().unwrap();
-    assert_eq!(m.attempts.len(), 2);
+    let machine = new.fleet.machines.values().next().unwrap();
+    assert_eq!(machine.attempts.len(), 2);
 }
 
-/// Tasks bound to a machine that fell silent before their launch was sent once waited for its whole lease.
+/// A machine falls silent after tasks were assigned to it and before their launch was sent. Since no launch was sent, the
+/// tasks can't be running there, and need not wait until the worker's lease has expired.
 #[test]
 fn a_launch_never_sent_to_a_silent_machine_is_placed_elsewhere() {
-    let (mut store, mut leader, _silent) = store_with_placed_job(&job("j-1", 2));
+    let (mut store, mut leader, _silent) = assign_without_launch(&job("j-1", 2));
     let mut other = FakeWorker::new("i-2", "small", "north");
     let mut now = 2.0;
     while other.running().len() < 2 {
@@ -227,29 +249,31 @@
     }
 }
 
-/// Of 1,500 machines 50 failed all that they started; each broke two gangs of sixteen before it was quarantined, and
-/// jobs that met three of them backed off as if they were at fault.
+/// If one task of a gang fails and the others are only stopped with it, its machine is at fault and must be quarantined
+/// by this first failure. In a fleet of 1,500 machines of which 50 fail every task, each of the 50 would otherwise abort
+/// two gangs of sixteen before its quarantine, and a job that fails on three of them would back off as if it were at
+/// fault itself.
 #[test]
 fn a_machine_that_fails_one_task_of_a_gang_is_quarantined_at_once() {
-    for all in [false, true] {
+    for all_fail in [false, true] {
         let mut store = FakeStore::default();
         store.submit(&gang("j-1", 4));
         let mut leader = store.elect("n0", 0.0);
-        let mut ws: Vec<FakeWorker> = (0..5)
+        let mut workers: Vec<FakeWorker> = (0..5)
             .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
             .collect();
-        for w in &mut ws {
-            exchange_heartbeats(w, &mut leader, 1.0);
+        for worker in &mut workers {
+            exchange_heartbeats(worker, &mut leader, 1.0);
         }
         store.schedule_and_write(&mut leader, 1.0);
-        for w in &mut ws {
-            w.send_heartbeat(&mut leader, 2.0);
-            w.send_heartbeat(&mut leader, 2.5);
+        for worker in &mut workers {
+            worker.send_heartbeat(&mut leader, 2.0);
+            worker.send_heartbeat(&mut leader, 2.5);
         }
-        for (i, w) in ws.iter_mut().enumerate() {
-            for task in w.running() {
-                let failed = all || i == 0;
-                w.exit_task(
+        for (i, worker) in workers.iter_mut().enumerate() {
+            for task in worker.running() {
+                let failed = all_fail || i == 0;
+                worker.exit_task(
                     &task,
                     if failed {
                         ExitReason::Error
@@ -258,52 +282,55 @@
                     },
                 );
             }
-            w.send_heartbeat(&mut leader, 3.0);
+            worker.send_heartbeat(&mut leader, 3.0);
         }
-        let suspects = leader
+        let quarantined = leader
             .fleet
             .machines
             .values()
-            .filter(|m| m.quarantined)
+            .filter(|machine| machine.quarantined)
             .count();
-        assert_eq!(suspects, usize::from(!all));
+        assert_eq!(quarantined, usize::from(!all_fail));
         store.schedule_and_write(&mut leader, 3.5);
-        let again = leader.jobs.values().next().unwrap().assigned_tasks;
-        // A job that fails everywhere backs off; another continues on the machines that are left.
-        assert_eq!(again, if all { 0 } else { 4 });
+        let reassigned = leader.jobs.values().next().unwrap().assigned_tasks;
+        // A job that fails on all machines backs off; any other one is assigned to the remaining machines.
+        assert_eq!(reassigned, if all_fail { 0 } else { 4 });
     }
 }
 
-/// After a process pause of some seconds a controller receives first the few heartbeats that came early. The others
-/// were silent only because it did not read: their machines were once returned as lost.
+/// After a process pause of some seconds a controller first reads the few heartbeats that arrived early. The other
+/// machines seem silent only because their heartbeats were not read yet; they must not be returned as lost.
 #[test]
-fn a_process_pause_of_the_leader_is_no_silence_of_the_machines() {
+fn a_process_pause_of_the_leader_does_not_count_as_silence_of_the_machines() {
     for (paused, expected) in [(true, 0), (false, 3)] {
         let mut store = FakeStore::default();
         let mut leader = store.elect("n0", 0.0);
-        let mut ws: Vec<FakeWorker> = (0..8)
+        let mut workers: Vec<FakeWorker> = (0..8)
             .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
             .collect();
-        for w in &mut ws {
-            exchange_heartbeats(w, &mut leader, 1.0);
+        for worker in &mut workers {
+            exchange_heartbeats(worker, &mut leader, 1.0);
         }
         if paused {
             let (until, length_s) = (9.5, 8.0);
             leader.record_pause(ProcessPause { until, length_s });
         }
-        for w in &mut ws[3..] {
-            w.send_heartbeat(&mut leader, 9.5);
+        for worker in &mut workers[3..] {
+            worker.send_heartbeat(&mut leader, 9.5);
         }
         leader.record_worker_contact(9.5);
         leader.maintain_fleet(9.5);
-        assert_eq!(returned_machines(&mut leader, 9.5).len(), expected);
+        assert_eq!(
+            fail_cloud_calls_until_deletion(&mut leader, 9.5).len(),
+            expected
+        );
     }
 }
 
-/// After thousands of returns all of them were once forgotten together, and a late heartbeat of a machine just
-/// returned brought it back.
+/// The leader remembers a bounded number of returned machines, the latest ones. If it dropped all names at once when the
+/// bound is reached, a late heartbeat of a machine that was just returned would add it to the fleet again.
 #[test]
-fn the_machines_returned_last_are_remembered() {
+fn the_latest_returned_machines_are_remembered() {
     let mut store = FakeStore::default();
     let mut leader = store.elect("n0", 0.0);
     for i in 0..17_000 {
@@ -311,37 +338,38 @@
         leader.on_cloud_answer(CloudCall::Delete(names), CloudAnswer::Deleted, 1.0);
     }
     for name in ["i-16999", "i-12000", "i-1000"] {
-        let mut ghost = FakeWorker::new(name, "small", "north");
+        let mut worker = FakeWorker::new(name, "small", "north");
         assert!(
             leader
-                .on_heartbeat(&ghost.next(), HeartbeatOrigin::Periodic, 2.0)
+                .on_heartbeat(&worker.next(), HeartbeatOrigin::Periodic, 2.0)
                 .is_none()
         );
     }
     assert!(leader.fleet.machines.is_empty());
 }
 
-/// Most of a fleet failed at once, as in a wave of spot preemptions. The leader attributed the silence to itself for
-/// ever: the machines left were never trusted, nor the others replaced.
+/// Most of a fleet fails at once, as in a wave of spot preemptions. The leader first assumes a fault of its own network,
+/// as so few machines send heartbeats. If it kept to that without a time limit, the lost machines would never be
+/// replaced.
 #[test]
-fn machines_that_fail_together_are_returned_in_the_end() {
+fn machines_that_fail_together_are_returned_after_two_worker_leases() {
     let mut store = FakeStore::default();
     let mut leader = store.elect("n0", 0.0);
-    let mut ws: Vec<FakeWorker> = (0..5)
+    let mut workers: Vec<FakeWorker> = (0..5)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
         .collect();
-    for w in &mut ws {
-        exchange_heartbeats(w, &mut leader, 1.0);
+    for worker in &mut workers {
+        exchange_heartbeats(worker, &mut leader, 1.0);
     }
-    let after = 1.0 + 2.0 * leader.config.worker_lease_expiry_s();
+    let returned_after = 1.0 + 2.0 * leader.config.worker_lease_expiry_s();
     let mut now = 1.0;
-    while now < after + 3.0 {
-        ws[0].send_heartbeat(&mut leader, now);
+    while now < returned_after + 3.0 {
+        workers[0].send_heartbeat(&mut leader, now);
         leader.record_worker_contact(now);
         leader.maintain_fleet(now);
-        let gone = returned_machines(&mut leader, now);
-        let expected = if now > after { 4 } else { 0 };
-        assert_eq!(gone.len(), expected, "{now}: {gone:?}");
+        let returned = fail_cloud_calls_until_deletion(&mut leader, now);
+        let expected = if now > returned_after { 4 } else { 0 };
+        assert_eq!(returned.len(), expected, "{now}: {returned:?}");
         now += 1.0;
     }
 }
--- a/src/tests/scenarios/placement_order.rs
+++ b/src/tests/scenarios/placement_order.rs
@@ -1,9 +1,8 @@
 //! Placement order and choice of machines.
 
-use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use super::{count_starts, exchange_heartbeats, gang, returned_machines};
+use super::{count_launches, exchange_heartbeats, fail_cloud_calls_until_deletion, gang};
 use crate::config::Objective;
 use crate::fleet::{AttemptKey, MachineRole};
 use crate::leader::Leader;
@@ -11,7 +10,8 @@
 use crate::protocol::workers::ExitReason;
 use crate::test_support::{FakeStore, FakeWorker, job};
 
-/// After a failover machines that ran gangs once counted as shared ones and were drained, while other gangs waited.
+/// A new leader must derive from the running tasks that a machine serves large tasks. If it took a machine that runs a
+/// gang for a shared one, small tasks would be placed there and the machine would be drained, while other gangs wait.
 #[test]
 fn a_new_leader_keeps_machines_of_large_tasks_for_large_tasks() {
     let mut store = FakeStore::default();
@@ -19,32 +19,36 @@
     large.types = Some(vec!["small".into()]);
     store.submit(&large);
     let mut old = store.elect("n0", 0.0);
-    let mut w = FakeWorker::new("i-1", "small", "north");
-    exchange_heartbeats(&mut w, &mut old, 1.0);
+    let mut worker = FakeWorker::new("i-1", "small", "north");
+    exchange_heartbeats(&mut worker, &mut old, 1.0);
     store.schedule_and_write(&mut old, 2.0);
-    w.send_heartbeat(&mut old, 3.0);
+    worker.send_heartbeat(&mut old, 3.0);
     store.submit(&job("j-2", 8));
     let mut new = store.elect("n1", 10.0);
-    exchange_heartbeats(&mut w, &mut new, 11.0);
+    exchange_heartbeats(&mut worker, &mut new, 11.0);
     new.maintain_fleet(11.0);
     store.schedule_and_write(&mut new, 11.0);
-    // There is room for one small task beside the gang's, but not for it.
-    assert_eq!(count_starts(&w.send_heartbeat(&mut new, 12.0)), 0);
-    let m = new.fleet.machines.values().next().unwrap();
-    assert_eq!((m.role, m.draining), (MachineRole::Large, false));
+    // The free capacity beside the gang's task would suffice for a small task, but the machine is kept for large tasks.
+    assert_eq!(count_launches(&worker.send_heartbeat(&mut new, 12.0)), 0);
+    let machine = new.fleet.machines.values().next().unwrap();
+    assert_eq!(
+        (machine.role, machine.draining),
+        (MachineRole::Large, false)
+    );
 }
 
+/// A large task of high priority must not wait behind running tasks of lower priority when all rental requests fail.
 #[test]
-fn urgent_large_tasks_preempt_when_no_machine_can_be_rented() {
+fn large_tasks_of_high_priority_preempt_when_no_machine_can_be_rented() {
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 4));
     let mut leader = store.elect("n0", 0.0);
-    let mut w = FakeWorker::new("i-1", "small", "north");
-    exchange_heartbeats(&mut w, &mut leader, 1.0);
+    let mut worker = FakeWorker::new("i-1", "small", "north");
+    exchange_heartbeats(&mut worker, &mut leader, 1.0);
     store.schedule_and_write(&mut leader, 1.0);
-    w.send_heartbeat(&mut leader, 2.0);
-    w.send_heartbeat(&mut leader, 2.5);
-    assert_eq!(w.running().len(), 4);
+    worker.send_heartbeat(&mut leader, 2.0);
+    worker.send_heartbeat(&mut leader, 2.5);
+    assert_eq!(worker.running().len(), 4);
     let mut urgent = gang("j-2", 1);
     urgent.priority = Priority::High;
     urgent.types = Some(vec!["small".into()]);
@@ -53,32 +57,33 @@
     let id = "j-2".into();
     leader.add_stored_job(&id, &view.jobs["j-2"], 3.0);
     let mut now = 3.0;
-    while w.running() != ["j-2/0"] {
+    while worker.running() != ["j-2/0"] {
         now += 1.0;
-        assert!(now < 20.0, "{:?}", w.running());
+        assert!(now < 20.0, "{:?}", worker.running());
         leader.maintain_fleet(now);
-        returned_machines(&mut leader, now);
+        fail_cloud_calls_until_deletion(&mut leader, now);
         store.schedule_and_write(&mut leader, now);
-        w.send_heartbeat(&mut leader, now);
+        worker.send_heartbeat(&mut leader, now);
     }
-    // The preempted tasks are not lost: they are pending.
+    // The preempted tasks are pending again, not lost.
     assert_eq!(
         leader.jobs[&leader.job_index("j-1").unwrap()].pending_tasks(),
         4
     );
 }
 
+/// If late jobs came first, every job behind them would be late as well. They must not wait forever either.
 #[test]
-fn jobs_that_can_meet_their_objective_precede_late_ones() {
+fn jobs_that_can_still_meet_their_objective_precede_late_ones_for_a_limited_time() {
     let mut store = FakeStore::default();
     let mut leader = store.elect("n0", 0.0);
     let late = job("j-1", 1);
-    let fresh = job("j-2", 1);
+    let on_time = job("j-2", 1);
     store.submit(&late);
-    store.submit(&fresh);
+    store.submit(&on_time);
     let mut view = store.replica();
-    for (id, seen) in [("j-1", 1.0), ("j-2", 90.0)] {
-        view.jobs.get_mut(id).unwrap().submitted_at = Some(seen);
+    for (id, submitted_at) in [("j-1", 1.0), ("j-2", 90.0)] {
+        view.jobs.get_mut(id).unwrap().submitted_at = Some(submitted_at);
         leader.add_stored_job(&id.into(), &view.jobs[id], 100.0);
     }
     let names = |leader: &Leader, now| -> Vec<String> {
@@ -89,20 +94,22 @@
             .collect()
     };
     assert_eq!(names(&leader, 100.0), ["j-2", "j-1"]);
-    // Not for ever: late jobs become due again.
+    // Late jobs become due again after some time.
     assert_eq!(names(&leader, 175.0), ["j-1", "j-2"]);
 }
 
+/// Hundreds of jobs of one class arrive at once on a full fleet. They must neither delay the jobs of other classes nor be
+/// assigned beyond the capacity of the machines.
 #[test]
-fn a_burst_of_one_class_delays_that_class_only() {
+fn an_arrival_burst_of_one_class_delays_that_class_only() {
     let mut store = FakeStore::default();
     let mut leader = store.elect("n0", 0.0);
-    let mut w = FakeWorker::new("i-1", "small", "north");
-    exchange_heartbeats(&mut w, &mut leader, 1.0);
+    let mut worker = FakeWorker::new("i-1", "small", "north");
+    exchange_heartbeats(&mut worker, &mut leader, 1.0);
     for i in 0..200 {
-        let mut one = job(&format!("j-{i}"), 50);
-        one.class = "crowd".into();
-        store.submit(&one);
+        let mut spec = job(&format!("j-{i}"), 50);
+        spec.class = "burst".into();
+        store.submit(&spec);
     }
     let mut other = job("j-900", 1);
     other.priority = Priority::High;
@@ -112,90 +119,93 @@
         leader.add_stored_job(id, stored, 2.0);
     }
     store.schedule_and_write(&mut leader, 2.0);
-    let commands = w.send_heartbeat(&mut leader, 2.5);
-    assert_eq!(count_starts(&commands), 4);
-    assert!(w.running().contains(&"j-900/0".to_string()));
-    // Nothing is bound beyond what machines have room for.
-    let bound: u32 = leader.jobs.values().map(|j| j.assigned_tasks).sum();
-    assert_eq!(bound, 4);
+    let commands = worker.send_heartbeat(&mut leader, 2.5);
+    assert_eq!(count_launches(&commands), 4);
+    assert!(worker.running().contains(&"j-900/0".to_string()));
+    // No more tasks are assigned than the machine has capacity for.
+    let assigned: u32 = leader.jobs.values().map(|job| job.assigned_tasks).sum();
+    assert_eq!(assigned, 4);
 }
 
-/// Gangs that need most machines were once starved by smaller ones that took each machine as it came free.
+/// A gang that needs all machines at once, with small gangs always pending. If the small gangs took each machine as soon
+/// as it has free capacity, the large gang would never start.
 #[test]
 fn a_large_gang_is_not_starved_by_small_ones() {
     let mut store = FakeStore::default();
     let mut leader = store.elect("n0", 0.0);
-    let mut ws: Vec<FakeWorker> = (0..4)
+    let mut workers: Vec<FakeWorker> = (0..4)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
         .collect();
-    let enter = |store: &mut FakeStore, leader: &mut Leader, spec: Submission, now: f64| {
+    let submit = |store: &mut FakeStore, leader: &mut Leader, spec: Submission, now: f64| {
         store.submit(&spec);
         let stored = store.replica().jobs[spec.id.as_str()].clone();
         leader.add_stored_job(&spec.id.as_str().into(), &stored, now);
     };
-    let only = |spec: Submission| Submission {
+    let on_small = |spec: Submission| Submission {
         types: Some(vec!["small".into()]),
         ..spec
     };
     let mut now = 0.0;
-    let mut next = 0;
-    let mut whole = None;
-    while whole.is_none() {
+    let mut small_gangs = 0;
+    let mut large_runs = false;
+    while !large_runs {
         now += 3.0;
         assert!(now < 15.0 + 240.0, "the large gang starves");
         // A small gang is always pending.
         for _ in 0..2 {
-            next += 1;
-            enter(
+            small_gangs += 1;
+            submit(
                 &mut store,
                 &mut leader,
-                only(gang(&format!("j-{next}"), 1)),
+                on_small(gang(&format!("j-{small_gangs}"), 1)),
                 now,
             );
         }
-        if next == 10 {
+        if small_gangs == 10 {
             // The large gang is submitted at 15 s.
-            enter(&mut store, &mut leader, only(gang("j-5000", 4)), now);
+            submit(&mut store, &mut leader, on_small(gang("j-5000", 4)), now);
         }
         leader.maintain_fleet(now);
-        returned_machines(&mut leader, now);
+        fail_cloud_calls_until_deletion(&mut leader, now);
         store.schedule_and_write(&mut leader, now);
-        // Each runs for six rounds, and they end one after the other.
-        for (i, w) in ws.iter_mut().enumerate() {
+        // The small gangs of one machine after the other complete, one machine in each round of 3 s.
+        for (i, worker) in workers.iter_mut().enumerate() {
             if (now / 3.0) as usize % 6 == i {
-                for task in w.running().iter().filter(|t| !t.starts_with("j-5000")) {
-                    w.exit_task(task, ExitReason::Done);
+                for task in worker.running().iter().filter(|t| !t.starts_with("j-5000")) {
+                    worker.exit_task(task, ExitReason::Done);
                 }
             }
-            w.send_heartbeat(&mut leader, now + 0.5);
+            worker.send_heartbeat(&mut leader, now + 0.5);
         }
-        let large = |w: &FakeWorker| w.running().iter().any(|t| t.starts_with("j-5000"));
-        whole = ws.iter().all(large).then_some(now);
+        let runs_large =
+            |worker: &FakeWorker| worker.running().iter().any(|t| t.starts_with("j-5000"));
+        large_runs = workers.iter().all(runs_large);
     }
 }
 
-fn order_of(leader: &Leader, now: f64) -> Vec<String> {
+fn job_ids_in_scheduling_order(leader: &Leader, now: f64) -> Vec<String> {
     let order = leader.scheduling_order(now);
     let id = |index| leader.jobs[index].id.to_string();
     order.iter().map(id).collect()
 }
 
-/// Objectives measured by a job's own deadline were once skipped, and such jobs had no due time.
+/// An objective may be relative to the job's own deadline. If the scheduler skipped such objectives, the jobs would have
+/// no due time and their deadlines would not count.
 #[test]
 fn jobs_are_ordered_by_deadline_and_small_ones_come_slightly_earlier() {
     let mut store = FakeStore::default();
-    let deadline = |id, deadline_s| Submission {
+    let with_deadline = |id, deadline_s| Submission {
         class: "lists".into(),
         team: "red".into(),
         deadline_s,
         ..job(id, 1)
     };
-    store.submit(&deadline("j-1", None));
-    store.submit(&deadline("j-2", Some(200.0)));
-    store.submit(&deadline("j-3", Some(90.0)));
+    store.submit(&with_deadline("j-1", None));
+    store.submit(&with_deadline("j-2", Some(200.0)));
+    store.submit(&with_deadline("j-3", Some(90.0)));
     store.submit(&Submission {
         tasks: 40,
-        ..deadline("j-4", Some(90.0))
+        ..with_deadline("j-4", Some(90.0))
     });
     let mut leader = store.elect("n0", 0.0);
     let mut config = (*leader.config).clone();
@@ -209,13 +219,16 @@
         })
         .into();
     leader.config = Rc::new(config);
-    let mut w = FakeWorker::new("i-1", "big", "north");
-    exchange_heartbeats(&mut w, &mut leader, 0.5);
-    // A job without a deadline has no due time; a large one is overtaken, but not by one that is due more than a
-    // minute later.
-    assert_eq!(order_of(&leader, 1.0), ["j-1", "j-3", "j-4", "j-2"]);
-    // The first objective of j-3 can no longer be met, the second can.
-    assert_eq!(order_of(&leader, 80.0)[1], "j-3");
+    let mut worker = FakeWorker::new("i-1", "big", "north");
+    exchange_heartbeats(&mut worker, &mut leader, 0.5);
+    // j-1 has no deadline and therefore no due time. Of two jobs with the same deadline the smaller one, j-3, comes before
+    // the larger one, j-4. j-2 is small too, but comes last, as it is due more than a minute later.
+    assert_eq!(
+        job_ids_in_scheduling_order(&leader, 1.0),
+        ["j-1", "j-3", "j-4", "j-2"]
+    );
+    // j-3 can no longer meet the first objective, but can still meet the second.
+    assert_eq!(job_ids_in_scheduling_order(&leader, 80.0)[1], "j-3");
 }
 
 fn with_image(id: &str, tasks: u32, image: &str) -> Submission {
@@ -226,62 +239,69 @@
     }
 }
 
-/// The machines that tasks of a job are on.
+/// The machines that have attempts of a job's tasks.
 fn machines_of(leader: &Leader, id: &str) -> Vec<String> {
     let index = leader.job_index(id).unwrap();
-    let on =
-        |attempts: &BTreeMap<AttemptKey, _>| attempts.keys().any(|k: &AttemptKey| k.job == index);
-    let machines = leader.fleet.machines.values().filter(|m| on(&m.attempts));
-    machines.map(|m| m.name.to_string()).collect()
+    let of_job = |key: &AttemptKey| key.job == index;
+    let machines = leader.fleet.machines.values();
+    machines
+        .filter(|machine| machine.attempts.keys().any(of_job))
+        .map(|machine| machine.name.to_string())
+        .collect()
 }
 
-/// A job's tasks once went to as many machines as there were, each machine fetched a dozen images at once, and most
-/// of a full fleet was held by tasks that waited for their image.
+/// If a job's tasks are spread over all machines, each machine fetches the image of every job, and most of a full fleet
+/// is occupied by tasks that wait for their image.
 #[test]
-fn tasks_are_placed_where_their_image_is_or_will_be_soon() {
+fn tasks_are_placed_where_their_image_is_cached_or_being_fetched() {
     let mut store = FakeStore::default();
     store.submit(&with_image("j-1", 4, "img-a"));
     let mut leader = store.elect("n0", 0.0);
-    let mut ws: Vec<FakeWorker> = (0..4)
+    let mut workers: Vec<FakeWorker> = (0..4)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
         .collect();
-    for w in &mut ws {
-        exchange_heartbeats(w, &mut leader, 1.0);
+    for worker in &mut workers {
+        exchange_heartbeats(worker, &mut leader, 1.0);
     }
     store.schedule_and_write(&mut leader, 1.0);
-    let first = machines_of(&leader, "j-1");
-    assert_eq!(first.len(), 1);
-    let run = |leader: &mut Leader, ws: &mut [FakeWorker], now: f64| {
-        for w in ws.iter_mut() {
-            w.send_heartbeat(leader, now);
-            w.send_heartbeat(leader, now);
+    let machines_1 = machines_of(&leader, "j-1");
+    assert_eq!(machines_1.len(), 1);
+    let send_heartbeats = |leader: &mut Leader, workers: &mut [FakeWorker], now: f64| {
+        for worker in workers.iter_mut() {
+            worker.send_heartbeat(leader, now);
+            worker.send_heartbeat(leader, now);
         }
     };
-    // Tasks with another image go elsewhere, not behind the fetch in progress.
-    let enter = |store: &mut FakeStore, leader: &mut Leader, spec: Submission, now: f64| {
-        store.submit(&spec);
-        leader.add_stored_job(
-            &spec.id.as_str().into(),
-            &store.replica().jobs[&*spec.id],
-            now,
-        );
-        store.schedule_and_write(leader, now);
-    };
-    enter(&mut store, &mut leader, with_image("j-2", 2, "img-b"), 2.0);
-    let second = machines_of(&leader, "j-2");
-    assert!(second.len() == 1 && second != first, "{second:?}");
-    run(&mut leader, &mut ws, 12.0);
-    // The machine that has the image precedes others that are as empty or emptier.
-    enter(&mut store, &mut leader, with_image("j-3", 1, "img-b"), 12.5);
-    assert_eq!(machines_of(&leader, "j-3"), second);
-    // It has room for two more tasks; the rest waits a little rather than have the image fetched once more, and does
-    // not wait for long.
-    enter(&mut store, &mut leader, with_image("j-4", 3, "img-b"), 13.0);
+    // Tasks with another image are placed on another machine: on the first their image would wait for the fetch in
+    // progress.
+    let submit_and_schedule =
+        |store: &mut FakeStore, leader: &mut Leader, spec: Submission, now: f64| {
+            store.submit(&spec);
+            leader.add_stored_job(
+                &spec.id.as_str().into(),
+                &store.replica().jobs[&*spec.id],
+                now,
+            );
+            store.schedule_and_write(leader, now);
+        };
+    submit_and_schedule(&mut store, &mut leader, with_image("j-2", 2, "img-b"), 2.0);
+    let machines_2 = machines_of(&leader, "j-2");
+    assert!(
+        machines_2.len() == 1 && machines_2 != machines_1,
+        "{machines_2:?}"
+    );
+    send_heartbeats(&mut leader, &mut workers, 12.0);
+    // The machine that has the image is preferred to machines with as much or more free capacity.
+    submit_and_schedule(&mut store, &mut leader, with_image("j-3", 1, "img-b"), 12.5);
+    assert_eq!(machines_of(&leader, "j-3"), machines_2);
+    // That machine has capacity for one of the three tasks only. The others may wait for a short time rather than have
+    // the image fetched by another machine, but not for long.
+    submit_and_schedule(&mut store, &mut leader, with_image("j-4", 3, "img-b"), 13.0);
     leader.maintain_fleet(13.0);
-    let waits = |leader: &Leader| leader.jobs[&leader.job_index("j-4").unwrap()].pending_tasks();
-    assert!(waits(&leader) <= 2);
-    run(&mut leader, &mut ws, 22.0);
+    let pending = |leader: &Leader| leader.jobs[&leader.job_index("j-4").unwrap()].pending_tasks();
+    assert!(pending(&leader) <= 2);
+    send_heartbeats(&mut leader, &mut workers, 22.0);
     leader.maintain_fleet(22.0);
     store.schedule_and_write(&mut leader, 22.0);
-    assert_eq!(waits(&leader), 0);
+    assert_eq!(pending(&leader), 0);
 }
--- a/src/tests/scenarios/writes.rs
+++ b/src/tests/scenarios/writes.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use super::{count_starts, exchange_heartbeats, gang};
+use super::{count_launches, exchange_heartbeats, gang};
 use crate::leader::{AfterTransaction, Leader};
 use crate::protocol::store::Change;
 use crate::protocol::users::Submission;
@@ -12,14 +12,16 @@
 use crate::store::transaction::TxnOutcome;
 use crate::test_support::{FakeStore, FakeWorker, job};
 
+/// A transaction whose reply is lost may or may not have been applied. The leader must not launch its assignments before
+/// it knows; it sends the transaction again and, on a conflict, reads one of the written keys back.
 #[test]
-fn a_transaction_without_reply_is_settled_by_reading_back() {
+fn a_transaction_without_a_reply_is_settled_by_reading_back() {
     for applied in [true, false] {
         let mut store = FakeStore::default();
         store.submit(&job("j-1", 1));
         let mut leader = store.elect("n0", 0.0);
-        let mut w = FakeWorker::new("i-1", "small", "north");
-        exchange_heartbeats(&mut w, &mut leader, 1.0);
+        let mut worker = FakeWorker::new("i-1", "small", "north");
+        exchange_heartbeats(&mut worker, &mut leader, 1.0);
         leader.schedule(2.0);
         let txn = leader.next_transaction(2.0).unwrap();
         if applied {
@@ -29,10 +31,10 @@
             leader.on_transaction_outcome(TxnOutcome::Unknown, 2.0),
             AfterTransaction::Retry
         );
-        // Not known to be stored, so not launched.
-        assert_eq!(count_starts(&w.send_heartbeat(&mut leader, 2.5)), 0);
-        let again = leader.next_transaction(3.0).unwrap();
-        let outcome = store.apply(&again);
+        // The assignment is not known to be stored, so the task is not launched.
+        assert_eq!(count_launches(&worker.send_heartbeat(&mut leader, 2.5)), 0);
+        let repeated = leader.next_transaction(3.0).unwrap();
+        let outcome = store.apply(&repeated);
         match leader.on_transaction_outcome(outcome, 3.0) {
             AfterTransaction::ReadBack(key) => {
                 assert!(applied);
@@ -40,17 +42,19 @@
             }
             after => assert_eq!((after, applied), (AfterTransaction::Continue, false)),
         }
-        assert_eq!(count_starts(&w.send_heartbeat(&mut leader, 3.5)), 1);
+        assert_eq!(count_launches(&worker.send_heartbeat(&mut leader, 3.5)), 1);
     }
 }
 
+/// A former leader may send a transaction after another controller was elected. The state service rejects it, and the
+/// former leader must step down.
 #[test]
-fn a_write_after_losing_leadership_ends_the_term() {
+fn a_transaction_after_the_next_election_ends_the_term() {
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 1));
     let mut old = store.elect("n0", 0.0);
-    let mut w = FakeWorker::new("i-1", "small", "north");
-    exchange_heartbeats(&mut w, &mut old, 1.0);
+    let mut worker = FakeWorker::new("i-1", "small", "north");
+    exchange_heartbeats(&mut worker, &mut old, 1.0);
     old.schedule(2.0);
     let txn = old.next_transaction(2.0).unwrap();
     store.elect("n1", 10.0);
@@ -61,83 +65,96 @@
     );
 }
 
+/// An array whose assignments don't fit in one record takes several, each within the store's value size of 8 KiB. A new
+/// leader must read the whole array from them: a task that it misses would be started again.
 #[test]
-fn an_array_larger_than_one_record_survives_a_failover() {
+fn an_array_that_takes_several_records_survives_a_failover() {
     let mut store = FakeStore::default();
     let mut large = job("j-1", 2000);
     large.cpus = 0.1;
     large.memory_gb = 0.1;
     store.submit(&large);
     let mut old = store.elect("n0", 0.0);
-    // Neighbouring tasks are on different machines: no two are recorded as one range.
-    let mut ws: Vec<FakeWorker> = (0..4)
+    // Neighboring tasks are on different machines, so that no two can be recorded as one range.
+    let mut workers: Vec<FakeWorker> = (0..4)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "big", "north"))
         .collect();
-    for w in &mut ws {
-        exchange_heartbeats(w, &mut old, 1.0);
+    for worker in &mut workers {
+        exchange_heartbeats(worker, &mut old, 1.0);
     }
-    let running = |ws: &[FakeWorker]| ws.iter().map(|w| w.running().len()).sum::<usize>();
+    let running = |workers: &[FakeWorker]| {
+        workers
+            .iter()
+            .map(|worker| worker.running().len())
+            .sum::<usize>()
+    };
     let mut now = 1.0;
-    while running(&ws) < 2000 {
+    while running(&workers) < 2000 {
         now += 1.0;
-        assert!(now < 100.0, "{} run", running(&ws));
+        assert!(now < 100.0, "{} running", running(&workers));
         store.schedule_and_write(&mut old, now);
-        for w in &mut ws {
-            w.send_heartbeat(&mut old, now);
+        for worker in &mut workers {
+            worker.send_heartbeat(&mut old, now);
         }
     }
-    let runs = store.keys.iter().filter(|(k, _)| k.contains("/run/"));
-    let sizes: Vec<usize> = runs.map(|(_, (v, _))| v.get().len()).collect();
+    let records = store.keys.iter().filter(|(key, _)| key.contains("/run/"));
+    let sizes: Vec<usize> = records.map(|(_, (value, _))| value.get().len()).collect();
     assert!(sizes.len() > 2, "{sizes:?}");
-    assert!(sizes.iter().all(|s| *s <= 8 * 1024), "{sizes:?}");
+    assert!(sizes.iter().all(|size| *size <= 8 * 1024), "{sizes:?}");
     for task in (0..2000).filter(|t| t % 3 == 0) {
-        for w in &mut ws {
-            w.exit_task(&format!("j-1/{task}"), ExitReason::Done);
+        for worker in &mut workers {
+            worker.exit_task(&format!("j-1/{task}"), ExitReason::Done);
         }
     }
     for _ in 0..5 {
         now += 1.0;
-        for w in &mut ws {
-            w.send_heartbeat(&mut old, now);
+        for worker in &mut workers {
+            worker.send_heartbeat(&mut old, now);
         }
         store.schedule_and_write(&mut old, now + 0.9);
     }
-    let shown = store.replica().jobs["j-1"].status("j-1");
-    assert_eq!((shown.done, shown.running), (667, 1333));
+    let status = store.replica().jobs["j-1"].status("j-1");
+    assert_eq!((status.done, status.running), (667, 1333));
     let mut new = store.elect("n1", now + 10.0);
     now += 11.0;
     for task in 0..2000 {
-        for w in &mut ws {
-            w.exit_task(&format!("j-1/{task}"), ExitReason::Done);
+        for worker in &mut workers {
+            worker.exit_task(&format!("j-1/{task}"), ExitReason::Done);
         }
     }
     for _ in 0..12 {
         now += 1.0;
-        for w in &mut ws {
-            w.send_heartbeat(&mut new, now);
+        for worker in &mut workers {
+            worker.send_heartbeat(&mut new, now);
         }
         store.schedule_and_write(&mut new, now);
     }
     assert_eq!(store.stored_end("j-1"), Some(JobEnd::Done));
-    assert!(ws.iter().all(|w| w.heartbeat.tasks.is_empty()));
-    // The end stays when the other records are deleted; the assignment log's entries for the job no longer count.
+    assert!(
+        workers
+            .iter()
+            .all(|worker| worker.heartbeat.tasks.is_empty())
+    );
+    // The end stays stored when the job's other records are deleted. Entries for the job that are left in the assignment
+    // log are ignored.
     let next = store.elect("n2", now + 10.0);
     assert_eq!((next.jobs.len(), next.fleet.machines.len()), (0, 0));
 }
 
-/// A value larger than the store's limit would be rejected for ever, and block all later writes.
+/// The state service rejects a value that is larger than its limit each time. An assignment record that is too large
+/// because of long machine names would therefore block all later writes.
 #[test]
-fn placements_on_machines_with_long_names_take_several_records() {
+fn assignments_to_machines_with_long_names_are_split_into_several_records() {
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 140));
     let mut leader = store.elect("n0", 0.0);
     for i in 0..36 {
         let name = format!("i-{i}-{}", "x".repeat(300));
-        let mut w = FakeWorker::new(&name, "small", "north");
-        exchange_heartbeats(&mut w, &mut leader, 1.0);
+        let mut worker = FakeWorker::new(&name, "small", "north");
+        exchange_heartbeats(&mut worker, &mut leader, 1.0);
     }
     leader.schedule(1.0);
-    let mut values = 0;
+    let mut records = 0;
     let mut now = 1.0;
     while let Some(txn) = leader.next_transaction(now) {
         for change in &txn.changes {
@@ -145,7 +162,7 @@
                 panic!("{change:?}");
             };
             assert!(value.get().len() <= 8 * 1024, "{}", value.get().len());
-            values += 1;
+            records += 1;
         }
         let outcome = store.apply(&txn);
         assert_eq!(
@@ -154,65 +171,69 @@
         );
         now += 1.0;
     }
-    assert!(values > 1);
+    assert!(records > 1);
     let new = store.elect("n1", 20.0);
-    let bound: Vec<u32> = new.jobs.values().map(|j| j.assigned_tasks).collect();
-    assert_eq!(bound, [140]);
+    let assigned: Vec<u32> = new.jobs.values().map(|job| job.assigned_tasks).collect();
+    assert_eq!(assigned, [140]);
 }
 
-/// Each job's assignments once had records of their own: with some dozens of jobs all launches waited for the store's
-/// few writes. The number of writes must not grow with the number of jobs, and old records must be deleted without
-/// losing entries that only they held.
+/// If each job had assignment records of its own, the launches of some dozens of jobs would wait for the state service's
+/// limited write rate. All jobs share one log, so that the number of writes doesn't grow with the number of jobs. Old
+/// records are deleted, but no entry that is still valid may be lost with them.
 #[test]
 fn the_assignment_log_of_many_jobs_takes_few_writes_and_keeps_valid_entries() {
     let mut store = FakeStore::default();
     let mut leader = store.elect("n0", 0.0);
-    let mut ws: Vec<FakeWorker> = (0..8)
+    let mut workers: Vec<FakeWorker> = (0..8)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "big", "north"))
         .collect();
-    for w in &mut ws {
-        exchange_heartbeats(w, &mut leader, 0.5);
+    for worker in &mut workers {
+        exchange_heartbeats(worker, &mut leader, 0.5);
     }
-    // One long-running job, and many short ones.
-    let mut long = job("j-9999", 4);
-    long.class = "long".into();
-    store.submit(&long);
-    let enter = |leader: &mut Leader, spec: Submission, now: f64| {
+    // One long-running job among many short ones.
+    let mut long_job = job("j-9999", 4);
+    long_job.class = "long".into();
+    store.submit(&long_job);
+    let accept = |leader: &mut Leader, spec: Submission, now: f64| {
         let id = spec.id.as_str().into();
         let mut stored = ReplicatedJob::default();
         stored.spec = Some(Rc::new(spec));
         leader.add_stored_job(&id, &stored, now);
     };
-    enter(&mut leader, long, 0.5);
+    accept(&mut leader, long_job, 0.5);
     let mut puts = 0;
     for round in 0..200 {
         let now = 1.0 + f64::from(round);
         for i in 0..5 {
             let id = format!("j-{}", round * 5 + i);
             store.submit(&job(&id, 8));
-            enter(&mut leader, job(&id, 8), now);
+            accept(&mut leader, job(&id, 8), now);
         }
         leader.schedule(now);
         while let Some(txn) = leader.next_transaction(now) {
-            let run = |c: &&Change| matches!(c, Change::Put { key, .. } if key.contains("/run/"));
-            puts += txn.changes.iter().filter(run).count();
+            let puts_record = |change: &&Change| matches!(change, Change::Put { key, .. } if key.contains("/run/"));
+            puts += txn.changes.iter().filter(puts_record).count();
             let outcome = store.apply(&txn);
             assert_eq!(
                 leader.on_transaction_outcome(outcome, now),
                 AfterTransaction::Continue
             );
         }
-        for w in &mut ws {
-            w.send_heartbeat(&mut leader, now + 0.3);
-            for task in w.running().iter().filter(|t| !t.starts_with("j-9999")) {
-                w.exit_task(task, ExitReason::Done);
+        for worker in &mut workers {
+            worker.send_heartbeat(&mut leader, now + 0.3);
+            for task in worker.running().iter().filter(|t| !t.starts_with("j-9999")) {
+                worker.exit_task(task, ExitReason::Done);
             }
-            w.send_heartbeat(&mut leader, now + 0.6);
+            worker.send_heartbeat(&mut leader, now + 0.6);
         }
     }
-    assert!(puts < 450, "{puts} values for 1000 jobs");
-    let values = store.keys.keys().filter(|k| k.contains("/run/")).count();
-    assert!(values < 150, "{values} values left");
+    assert!(puts < 450, "{puts} records written for 1000 jobs");
+    let records = store
+        .keys
+        .keys()
+        .filter(|key| key.contains("/run/"))
+        .count();
+    assert!(records < 150, "{records} records left");
     assert_eq!(store.replica().jobs["j-9999"].status("j-9999").running, 4);
     let new = store.elect("n1", 500.0);
     assert_eq!(
@@ -223,14 +244,14 @@
         .replica()
         .jobs
         .values()
-        .filter(|j| j.end.is_some())
+        .filter(|job| job.end.is_some())
         .count();
     assert!(done > 950, "{done}");
 }
 
-/// With one small write a second everything still proceeds, only later.
+/// Under the smallest limits, one change per second and values of 1 KiB, jobs still start and complete, only later.
 #[test]
-fn the_smallest_limits_of_the_state_service_block_nothing() {
+fn jobs_complete_under_the_smallest_limits_of_the_state_service() {
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 30));
     store.submit(&gang("j-2", 2));
@@ -240,18 +261,18 @@
     config.deployment.state.txn_ops = 1;
     config.deployment.state.value_kb = 1.0;
     leader.config = Rc::new(config);
-    let mut ws: Vec<FakeWorker> = (0..3)
+    let mut workers: Vec<FakeWorker> = (0..3)
         .map(|i| FakeWorker::new(&format!("i-{i}"), "small", "north"))
         .collect();
     let mut now = 0.0;
     while store.stored_end("j-1").is_none() || store.stored_end("j-2").is_none() {
         now += 3.0;
         assert!(now < 300.0);
-        for w in &mut ws {
-            for task in w.running() {
-                w.exit_task(&task, ExitReason::Done);
+        for worker in &mut workers {
+            for task in worker.running() {
+                worker.exit_task(&task, ExitReason::Done);
             }
-            w.send_heartbeat(&mut leader, now);
+            worker.send_heartbeat(&mut leader, now);
         }
         leader.schedule(now);
         while let Some(txn) = leader.next_transaction(now) {
@@ -262,8 +283,8 @@
     }
 }
 
-/// Tasks of many jobs end all the time: under a low limit each completion once took the only write available, and the
-/// ends of jobs, and with them their dependents, were a hundred seconds late.
+/// Tasks of many jobs complete all the time. Under a low write limit, if each completion took one of the few writes, the
+/// ends of jobs and with them the starts of their dependents would be late by as much as a hundred seconds.
 #[test]
 fn the_assignment_log_does_not_delay_the_ends_of_jobs() {
     let mut store = FakeStore::default();
@@ -277,11 +298,11 @@
     }
     store.submit(&job("j-100", 1));
     let mut leader = store.elect_with(config, "n0", 0.0);
-    let mut waited = None;
+    let mut end_delay_s = None;
     for step in 0..800_u32 {
         let now = f64::from(step) * 0.05;
-        for part in 0..2 {
-            let id = &ids[(2 * step + part) as usize % ids.len()];
+        for completion in 0..2 {
+            let id = &ids[(2 * step + completion) as usize % ids.len()];
             let key = (leader.job_index(id).unwrap(), step / 25, 1).into();
             leader.on_task_done(key, None, now);
         }
@@ -296,10 +317,11 @@
                 AfterTransaction::Continue
             );
         }
-        if waited.is_none() && store.stored_end("j-100").is_some() {
-            waited = Some(now - 20.0);
+        if end_delay_s.is_none() && store.stored_end("j-100").is_some() {
+            // Its only task completes at 20 s.
+            end_delay_s = Some(now - 20.0);
         }
     }
-    let waited = waited.expect("the end was never written");
-    assert!(waited <= 1.5, "{waited}");
+    let end_delay_s = end_delay_s.expect("the end was never written");
+    assert!(end_delay_s <= 1.5, "{end_delay_s}");
 }
--- a/src/tests/scenarios/zones.rs
+++ b/src/tests/scenarios/zones.rs
@@ -2,7 +2,7 @@
 
 use serde_json::value::to_raw_value;
 
-use super::returned_machines;
+use super::fail_cloud_calls_until_deletion;
 use crate::autoscaler::{CloudAnswer, CloudCall};
 use crate::fleet::HeartbeatOrigin;
 use crate::leader::Leader;
@@ -12,28 +12,28 @@
 use crate::store::transaction::TxnOutcome;
 use crate::test_support::{FakeStore, FakeWorker, job};
 
-/// While a zone was partitioned, all machines lost there were once rented there again, as it now had the fewest; they
-/// booted and could not be reached for the whole time.
+/// The autoscaler prefers the zone with the fewest machines. When a partition makes all machines of a zone count as lost,
+/// their replacements must not be rented there: they would boot, and be unreachable as long as the partition lasts.
 #[test]
-fn nothing_is_rented_in_a_partitioned_zone() {
+fn no_machines_are_rented_in_a_partitioned_zone() {
     let mut store = FakeStore::default();
     let mut large = job("j-1", 200);
     large.types = Some(vec!["small".into()]);
     store.submit(&large);
     let mut leader = store.elect("n0", 0.0);
-    let worker = |i: usize, zone| FakeWorker::new(&format!("i-{i}"), "small", zone);
-    let mut north: Vec<FakeWorker> = (0..14).map(|i| worker(i, "north")).collect();
-    let mut south: Vec<FakeWorker> = (14..28).map(|i| worker(i, "south")).collect();
-    let mut zones = Vec::new();
-    let mut lost = Vec::new();
+    let new_worker = |i: usize, zone| FakeWorker::new(&format!("i-{i}"), "small", zone);
+    let mut north: Vec<FakeWorker> = (0..14).map(|i| new_worker(i, "north")).collect();
+    let mut south: Vec<FakeWorker> = (14..28).map(|i| new_worker(i, "south")).collect();
+    let mut rental_zones = Vec::new();
+    let mut returned_at = Vec::new();
     for step in 0..120 {
         let now = 1.0 + f64::from(step);
-        for w in &mut north {
-            w.send_heartbeat(&mut leader, now);
+        for worker in &mut north {
+            worker.send_heartbeat(&mut leader, now);
         }
         if now < 20.0 {
-            for w in &mut south {
-                w.send_heartbeat(&mut leader, now);
+            for worker in &mut south {
+                worker.send_heartbeat(&mut leader, now);
             }
         }
         leader.record_worker_contact(now);
@@ -41,13 +41,13 @@
         while let Some(call) = leader.next_cloud_call(now) {
             let answer = match &call {
                 CloudCall::Rent(rent, _) => {
-                    if now > 24.0 && lost.is_empty() {
-                        zones.push(rent.zone.clone());
+                    if now > 24.0 && returned_at.is_empty() {
+                        rental_zones.push(rent.zone.clone());
                     }
                     CloudAnswer::NoCapacity
                 }
                 CloudCall::Delete(names) => {
-                    lost.extend(names.iter().map(|_| now));
+                    returned_at.extend(names.iter().map(|_| now));
                     CloudAnswer::Deleted
                 }
                 CloudCall::List { .. } => CloudAnswer::List(Vec::new(), false),
@@ -56,15 +56,23 @@
             leader.on_cloud_answer(call, answer, now);
         }
     }
-    // They are kept for a while: most partitions end before replacements would be up.
-    assert_eq!(lost.len(), 14);
-    let kept = 20.0 + 2.5 * 30.0;
-    assert!(lost.iter().all(|at| (*at - kept).abs() < 2.0), "{lost:?}");
-    assert!(!zones.is_empty());
-    assert!(zones.iter().all(|z| z == "north"), "{zones:?}");
+    // The machines of the partitioned zone are kept for 2.5 boot times of 30 s: most partitions end before replacements
+    // would be up.
+    assert_eq!(returned_at.len(), 14);
+    let kept_until = 20.0 + 2.5 * 30.0;
+    assert!(
+        returned_at.iter().all(|at| (*at - kept_until).abs() < 2.0),
+        "{returned_at:?}"
+    );
+    assert!(!rental_zones.is_empty());
+    assert!(
+        rental_zones.iter().all(|zone| zone == "north"),
+        "{rental_zones:?}"
+    );
 }
 
-/// Two zones of 14 machines with a task on each; no heartbeats come from the south from 10 s on.
+/// Two zones of 14 machines with one task on each. From 10 s to 16 s the leader receives no heartbeats from the zone
+/// `south` and delegates it. Returns the workers of both zones, `north` first.
 fn partitioned_south() -> (FakeStore, Leader, Vec<FakeWorker>, Vec<FakeWorker>) {
     let mut store = FakeStore::default();
     let mut spec = job("j-1", 28);
@@ -72,78 +80,89 @@
     spec.types = Some(vec!["small".into()]);
     store.submit(&spec);
     let mut leader = store.elect("n0", 0.0);
-    let worker = |i: usize, zone| FakeWorker::new(&format!("i-{i:02}"), "small", zone);
-    let mut north: Vec<FakeWorker> = (0..14).map(|i| worker(i, "north")).collect();
-    let mut south: Vec<FakeWorker> = (14..28).map(|i| worker(i, "south")).collect();
+    let new_worker = |i: usize, zone| FakeWorker::new(&format!("i-{i:02}"), "small", zone);
+    let mut north: Vec<FakeWorker> = (0..14).map(|i| new_worker(i, "north")).collect();
+    let mut south: Vec<FakeWorker> = (14..28).map(|i| new_worker(i, "south")).collect();
     for step in 0..40 {
         let now = f64::from(step) * 0.25;
-        for w in north.iter_mut().chain(&mut south) {
-            w.send_heartbeat(&mut leader, now);
+        for worker in north.iter_mut().chain(&mut south) {
+            worker.send_heartbeat(&mut leader, now);
         }
         store.schedule_and_write(&mut leader, now);
     }
-    assert_eq!(bound_tasks(&leader), 28);
+    assert_eq!(assigned_tasks(&leader), 28);
     send_heartbeats_only_from(&mut store, &mut leader, &mut north, 10.0, 16.0);
     (store, leader, north, south)
 }
 
-/// Only these workers send heartbeats, from one moment to another.
+/// Runs the leader from one moment to another, with heartbeats from these workers only.
 fn send_heartbeats_only_from(
     store: &mut FakeStore,
     leader: &mut Leader,
-    ws: &mut [FakeWorker],
+    workers: &mut [FakeWorker],
     from: f64,
     to: f64,
 ) {
     let mut now = from;
     while now < to {
-        for w in ws.iter_mut() {
-            w.send_heartbeat(leader, now);
+        for worker in workers.iter_mut() {
+            worker.send_heartbeat(leader, now);
         }
         leader.record_worker_contact(now);
         leader.maintain_fleet(now);
         store.schedule_and_write(leader, now);
-        returned_machines(leader, now);
+        fail_cloud_calls_until_deletion(leader, now);
         now += 0.5;
     }
 }
 
-fn bound_tasks(leader: &Leader) -> u32 {
-    leader.jobs.values().map(|j| j.assigned_tasks).sum()
+fn assigned_tasks(leader: &Leader) -> u32 {
+    leader.jobs.values().map(|job| job.assigned_tasks).sum()
 }
 
 fn delegation_record(store: &FakeStore) -> Option<DelegationRecord> {
-    let view = store.replica();
-    view.delegations.values().next().map(|d| d.record.clone())
+    let replica = store.replica();
+    let mut delegations = replica.delegations.values();
+    delegations
+        .next()
+        .map(|delegation| delegation.record.clone())
 }
 
-/// While delegates may reply to the workers of a zone, silence proves nothing about their tasks: these were once
-/// about to be started elsewhere while they ran on. That ends a lease after the delegation was taken back.
+/// Delegates renew the leases of workers in a partitioned zone, so that their tasks run on although the leader receives no
+/// heartbeats. If the leader freed these tasks for silence, they would run twice. Silence counts again one worker lease
+/// after the delegation was revoked.
 #[test]
-fn nothing_is_freed_for_silence_in_a_delegated_zone() {
+fn tasks_in_a_delegated_zone_are_not_freed_for_silence() {
     let (mut store, mut leader, mut north, mut south) = partitioned_south();
-    let given = delegation_record(&store).expect("no word");
+    let record = delegation_record(&store).expect("no delegation is stored");
     assert_eq!(
-        (given.fencing_token, &*given.zone, given.revoked),
+        (record.fencing_token, &*record.zone, record.revoked),
         (leader.fencing_token, "south", false)
     );
     send_heartbeats_only_from(&mut store, &mut leader, &mut north, 16.0, 50.0);
-    assert_eq!(bound_tasks(&leader), 28);
-    // One machine of the zone replies to the leader again, and sends it heartbeats from then on.
+    assert_eq!(assigned_tasks(&leader), 28);
+    // One machine of the zone answers a direct command, and sends heartbeats to the leader from then on.
     let heartbeat = south[0].next();
     leader.on_heartbeat(&heartbeat, HeartbeatOrigin::DirectReply, 50.0);
     north.push(south.remove(0));
     send_heartbeats_only_from(&mut store, &mut leader, &mut north, 50.2, 52.0);
     assert!(delegation_record(&store).unwrap().revoked);
-    let off = leader.config.worker_lease_expiry_s();
-    send_heartbeats_only_from(&mut store, &mut leader, &mut north, 52.0, 50.0 + off);
-    assert_eq!(bound_tasks(&leader), 28);
-    // The tasks of machines that never came back are free then.
-    send_heartbeats_only_from(&mut store, &mut leader, &mut north, 50.0 + off, 55.0 + off);
-    assert_eq!(bound_tasks(&leader), 15);
+    let expiry_s = leader.config.worker_lease_expiry_s();
+    send_heartbeats_only_from(&mut store, &mut leader, &mut north, 52.0, 50.0 + expiry_s);
+    assert_eq!(assigned_tasks(&leader), 28);
+    // Then the tasks of the machines that never made contact again are freed.
+    send_heartbeats_only_from(
+        &mut store,
+        &mut leader,
+        &mut north,
+        50.0 + expiry_s,
+        55.0 + expiry_s,
+    );
+    assert_eq!(assigned_tasks(&leader), 15);
 }
 
-/// A delegation is written at most twice, and a late copy of either write changes nothing.
+/// A delegation record is written when the zone is delegated and when the delegation is revoked. If a late copy of the
+/// first write were applied after the second, delegates would act on a revoked delegation.
 #[test]
 fn a_late_copy_of_a_delegation_write_changes_nothing() {
     let (mut store, mut leader, mut north, mut south) = partitioned_south();
@@ -155,38 +174,39 @@
         lease: None,
     };
     let condition = |key: String, revision| Condition { key, revision };
-    let given = Txn {
+    let first_write = Txn {
         conditions: vec![
             condition(keys::leader(), leader.fencing_token),
             condition(key.clone(), 0),
         ],
         changes: vec![put(&record)],
     };
-    assert!(matches!(store.apply(&given), TxnOutcome::Conflict(_)));
+    assert!(matches!(store.apply(&first_write), TxnOutcome::Conflict(_)));
     leader.on_heartbeat(&south[0].next(), HeartbeatOrigin::DirectReply, 16.0);
     send_heartbeats_only_from(&mut store, &mut leader, &mut north, 16.2, 18.0);
     assert!(delegation_record(&store).unwrap().revoked);
-    assert!(matches!(store.apply(&given), TxnOutcome::Conflict(_)));
+    assert!(matches!(store.apply(&first_write), TxnOutcome::Conflict(_)));
     assert!(delegation_record(&store).unwrap().revoked);
-    // The next leader ignores it and deletes it.
+    // The next leader ignores the former leader's delegation and deletes its record.
     let mut next = store.elect("n1", 20.0);
     send_heartbeats_only_from(&mut store, &mut next, &mut north, 20.0, 24.0);
     let delegations = store.replica().delegations;
     assert!(
         delegations
             .values()
-            .all(|d| d.record.fencing_token == next.fencing_token),
+            .all(|delegation| delegation.record.fencing_token == next.fencing_token),
         "{delegations:?}"
     );
 }
 
-/// Tasks that completed behind a partition once counted as done only when the partition had ended; tasks lost there
-/// stayed bound as long.
+/// A delegate relays which tasks completed in a partitioned zone and which workers restarted. Without relays, completed
+/// tasks would count as done only after the partition, and lost tasks would stay assigned as long. A relay may arrive
+/// twice or late and must count once.
 #[test]
-fn a_relay_counts_once_whenever_it_arrives() {
+fn a_repeated_or_late_relay_counts_once() {
     let (mut store, mut leader, mut north, mut south) = partitioned_south();
-    let task = |w: &FakeWorker| w.running()[0].rsplit_once('/').unwrap().1.parse().unwrap();
-    let done: u32 = task(&south[0]);
+    let done_name = &south[0].running()[0];
+    let done: u32 = done_name.rsplit_once('/').unwrap().1.parse().unwrap();
     let attempt = south[0].heartbeat.tasks[0].attempt;
     let record = RelayRecord {
         fencing_token: leader.fencing_token,
@@ -204,7 +224,8 @@
         let job = leader.jobs.values().next().unwrap();
         assert_eq!((job.done_tasks, job.assigned_tasks), (1, 26));
     }
-    // The lost task runs elsewhere; a late copy of the relay does not free what the machine got since.
+    // The lost task runs on another machine. A late copy of the relay doesn't free the task that the restarted worker was
+    // given meanwhile.
     send_heartbeats_only_from(&mut store, &mut leader, &mut north, 16.0, 18.0);
     south[1].heartbeat.agent_epoch = 2;
     south[1].heartbeat.tasks.clear();
@@ -214,24 +235,25 @@
     }
     south[1].send_heartbeat(&mut leader, 19.5);
     assert_eq!(south[1].running().len(), 1);
-    let before = bound_tasks(&leader);
+    let before = assigned_tasks(&leader);
     leader.on_relay(&record, 20.0);
-    assert_eq!(bound_tasks(&leader), before);
+    assert_eq!(assigned_tasks(&leader), before);
     // A relay to another term's leader is ignored.
     let mut next = store.elect("n1", 21.0);
-    let was = bound_tasks(&next);
+    let before = assigned_tasks(&next);
     next.on_relay(&record, 21.0);
-    assert_eq!(bound_tasks(&next), was);
+    assert_eq!(assigned_tasks(&next), before);
 }
 
-/// A leader elected during a partition knows the machines behind it from the assignment log alone, and not in which
-/// agent epoch their tasks are: a worker that has seen its fencing token frees nothing, a later agent epoch does.
+/// A leader that is elected during a partition knows the machines behind it from the assignment log only, which doesn't
+/// hold the agent epochs in which the tasks were started. The first relayed agent epoch therefore doesn't show that the
+/// worker restarted; only a later one does, and frees the tasks.
 #[test]
-fn the_first_relayed_agent_epoch_frees_nothing() {
+fn the_first_relayed_agent_epoch_frees_no_tasks() {
     let (mut store, _, mut north, south) = partitioned_south();
     let mut next = store.elect("n1", 16.0);
     send_heartbeats_only_from(&mut store, &mut next, &mut north, 16.2, 18.0);
-    let before = bound_tasks(&next);
+    let before = assigned_tasks(&next);
     let relay_of = |agent_epoch| RelayRecord {
         fencing_token: next.fencing_token,
         zone: "south".into(),
@@ -241,8 +263,8 @@
     let (first, again, later) = (relay_of(1), relay_of(1), relay_of(2));
     for record in [first, again] {
         next.on_relay(&record, 18.5);
-        assert_eq!(bound_tasks(&next), before);
+        assert_eq!(assigned_tasks(&next), before);
     }
     next.on_relay(&later, 19.0);
-    assert_eq!(bound_tasks(&next), before - 1);
+    assert_eq!(assigned_tasks(&next), before - 1);
 }
