--- a/src/tests.rs
+++ b/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the sans-I/O state machines.
+//! Tests of the sans-I/O state machines: no network, no disk, and a simulated clock.
 
 mod dependency_graph_examples;
 mod dependency_graphs;
--- a/src/tests/scenarios.rs
+++ b/src/tests/scenarios.rs
@@ -1,5 +1,5 @@
 //! Failure scenarios of the leader's state machine: simulated clock, in-memory state service, scripted workers. Nothing
-//! runs concurrently: each test calls the leader at the moments that it chooses, in seconds.
+//! runs concurrently: each test calls the leader at chosen moments, in seconds.
 
 mod direct_commands;
 mod machines;
@@ -29,8 +29,8 @@
     }
 }
 
-/// Sends two heartbeats: the reply to the first carries the leader's fencing token, and the second shows the leader that
-/// the worker has seen it. The leader assigns tasks to a machine only after that.
+/// Sends two heartbeats: the reply to the first carries the leader's fencing token, and the second shows the leader
+/// that the worker has seen it. The leader assigns tasks to a machine only after that.
 fn exchange_heartbeats(worker: &mut FakeWorker, leader: &mut Leader, now: f64) {
     worker.send_heartbeat(leader, now);
     worker.send_heartbeat(leader, now);
@@ -48,8 +48,8 @@
     (store, leader, worker)
 }
 
-/// Answers the leader's cloud calls with failures up to the first that deletes (returns) machines, and gives the names of
-/// these machines. The deletion itself gets no answer. The result is empty if the leader deletes nothing.
+/// Answers the leader's cloud calls with failures up to the first that deletes (returns) machines, and gives the names
+/// of these machines. The deletion itself gets no answer. The result is empty if the leader deletes nothing.
 fn fail_cloud_calls_until_deletion(leader: &mut Leader, now: f64) -> Vec<String> {
     while let Some(call) = leader.next_cloud_call(now) {
         match call {
--- a/src/tests/scenarios/direct_commands.rs
+++ b/src/tests/scenarios/direct_commands.rs
@@ -39,11 +39,13 @@
     (store, leader, worker, message)
 }
 
+/// A heartbeat may cross a direct launch. If the leader concluded from it that the task is not on the machine, the task
+/// would be launched twice.
 #[test]
 fn a_direct_launch_is_sent_once_and_its_reply_counts_as_a_heartbeat() {
     let (mut store, mut leader, mut worker, message) = direct_launch();
-    // This heartbeat is sent before the direct command arrives and doesn't show the task. The leader neither launches it
-    // again nor takes it for lost.
+    // This heartbeat is sent before the direct command arrives and doesn't show the task. The leader neither launches
+    // it again nor takes it for lost.
     assert_eq!(count_launches(&worker.send_heartbeat(&mut leader, 1.2)), 0);
     assert_eq!(leader.take_direct_commands(1.3, 0.0, 10).len(), 0);
     worker.execute(leader.fencing_token, &message.commands);
@@ -61,8 +63,8 @@
     assert!(worker.heartbeat.tasks.is_empty());
 }
 
-/// A direct launch without an answer may still be delivered. If the task were assigned to another machine, or the worker
-/// forgot the failed attempt, the delayed command could start the task while it also runs elsewhere.
+/// A direct launch without an answer may still be delivered. If the task were assigned to another machine, or the
+/// worker forgot the failed attempt, the delayed command could start the task while it also runs elsewhere.
 #[test]
 fn a_task_with_a_launch_in_doubt_stays_assigned_and_its_exit_is_not_forgotten() {
     let (mut store, mut leader, mut worker, message) = direct_launch();
@@ -104,8 +106,8 @@
     assert!(machine.attempts.values().all(|attempt| !attempt.in_doubt()));
 }
 
-/// A task of a cancelled job whose launch is in doubt may still be started on its machine. The leader
-/// therefore returns the machine to the cloud.
+/// A task of a cancelled job whose launch is in doubt may still be started on its machine. The leader therefore
+/// returns the machine to the cloud.
 #[test]
 fn a_machine_is_returned_for_a_cancelled_job_with_a_launch_in_doubt() {
     let (mut store, mut leader, mut worker, message) = direct_launch();
@@ -132,6 +134,8 @@
     assert!(leader.jobs.values().all(|job| job.live_attempts == 0));
 }
 
+/// If a direct command could not even be sent, its launch can't be executed later. The task need not wait for the
+/// machine's next heartbeat.
 #[test]
 fn a_direct_launch_that_was_not_sent_is_placed_elsewhere_at_once() {
     let (mut store, mut leader, _, message) = direct_launch();
@@ -149,8 +153,8 @@
     assert_eq!(launches, 1);
 }
 
-/// Guards against tasks that run twice. A worker's heartbeats no longer arrive, but it still answers direct commands. If
-/// the leader launched tasks by direct commands there, the worker's lease would expire a moment later by the missing
+/// Guards against tasks that run twice. A worker's heartbeats no longer arrive, but it still answers direct commands.
+/// If the leader launched tasks by direct commands there, the worker's lease would expire a moment later by the missing
 /// heartbeats, and the same tasks would be started on another machine.
 #[test]
 fn a_machine_that_only_answers_direct_commands_gets_no_new_tasks_and_keeps_its_own() {
--- a/src/tests/scenarios/machines.rs
+++ b/src/tests/scenarios/machines.rs
@@ -60,9 +60,9 @@
     );
 }
 
-/// A leader that receives no heartbeats at all can't tell whether the machines or its own network failed. If it returned
-/// the silent machines as lost, a network fault of the leader alone would cost a large part of the fleet. One silent
-/// machine among others that send heartbeats is lost and returned.
+/// A leader that receives no heartbeats at all can't tell whether the machines or its own network failed. If it
+/// returned the silent machines as lost, a network fault of the leader alone would cost a large part of the fleet. One
+/// silent machine among others that send heartbeats is lost and returned.
 #[test]
 fn a_leader_without_heartbeats_keeps_its_machines_but_a_silent_machine_is_returned() {
     for all_silent in [true, false] {
@@ -159,8 +159,8 @@
     store.schedule_and_write(&mut leader, 1.0);
     unresponsive.send_heartbeat(&mut leader, 1.5);
     assert_eq!(unresponsive.running().len(), 2);
-    // From now on the worker gets no replies and tries all controllers one after the other, so that this leader receives
-    // every second heartbeat. Later its agent epoch ends, and with it the two tasks.
+    // From now on the worker gets no replies and tries all controllers one after the other, so that this leader
+    // receives every second heartbeat. Later its agent epoch ends, and with it the two tasks.
     let mut now = 3.0;
     let mut returned = Vec::new();
     let mut agent_epochs = 1;
@@ -223,7 +223,8 @@
         );
         assert_eq!(leader.jobs.values().next().unwrap().assigned_tasks, 2);
     }
-    // For a new leader the copy is the first heartbeat of the machine. It shows an older fencing token and frees nothing.
+    // For a new leader the copy is the first heartbeat of the machine. It shows an older fencing token and frees
+    // nothing.
     let mut new = store.elect("n1", 70.0);
     new.on_heartbeat(&old_heartbeat, HeartbeatOrigin::Periodic, 71.0);
     assert_eq!(new.jobs.values().next().unwrap().assigned_tasks, 2);
@@ -232,8 +233,8 @@
     assert_eq!(machine.attempts.len(), 2);
 }
 
-/// A machine falls silent after tasks were assigned to it and before their launch was sent. Since no launch was sent, the
-/// tasks can't be running there, and need not wait until the worker's lease has expired.
+/// A machine falls silent after tasks were assigned to it and before their launch was sent. Since no launch was sent,
+/// the tasks can't be running there, and need not wait until the worker's lease has expired.
 #[test]
 fn a_launch_never_sent_to_a_silent_machine_is_placed_elsewhere() {
     let (mut store, mut leader, _silent) = assign_without_launch(&job("j-1", 2));
@@ -250,9 +251,9 @@
 }
 
 /// If one task of a gang fails and the others are only stopped with it, its machine is at fault and must be quarantined
-/// by this first failure. In a fleet of 1,500 machines of which 50 fail every task, each of the 50 would otherwise abort
-/// two gangs of sixteen before its quarantine, and a job that fails on three of them would back off as if it were at
-/// fault itself.
+/// by this first failure. In a fleet of 1,500 machines of which 50 fail every task, each of the 50 would otherwise
+/// abort two gangs of sixteen before its quarantine, and a job that fails on three of them would back off as if it were
+/// at fault itself.
 #[test]
 fn a_machine_that_fails_one_task_of_a_gang_is_quarantined_at_once() {
     for all_fail in [false, true] {
@@ -327,8 +328,8 @@
     }
 }
 
-/// The leader remembers a bounded number of returned machines, the latest ones. If it dropped all names at once when the
-/// bound is reached, a late heartbeat of a machine that was just returned would add it to the fleet again.
+/// The leader remembers a bounded number of returned machines, the latest ones. If it dropped all names at once when
+/// the bound is reached, a late heartbeat of a machine that was just returned would add it to the fleet again.
 #[test]
 fn the_latest_returned_machines_are_remembered() {
     let mut store = FakeStore::default();
@@ -348,9 +349,9 @@
     assert!(leader.fleet.machines.is_empty());
 }
 
-/// Most of a fleet fails at once, as in a wave of spot preemptions. The leader first assumes a fault of its own network,
-/// as so few machines send heartbeats. If it kept to that without a time limit, the lost machines would never be
-/// replaced.
+/// Most of a fleet fails at once, as in a wave of spot preemptions. The leader first assumes a fault of its own
+/// network, as so few machines send heartbeats. If it kept to that without a time limit, the lost machines would never
+/// be replaced.
 #[test]
 fn machines_that_fail_together_are_returned_after_two_worker_leases() {
     let mut store = FakeStore::default();
--- a/src/tests/scenarios/placement_order.rs
+++ b/src/tests/scenarios/placement_order.rs
@@ -53,9 +53,9 @@
     urgent.priority = Priority::High;
     urgent.types = Some(vec!["small".into()]);
     store.submit(&urgent);
-    let view = store.replica();
+    let replica = store.replica();
     let id = "j-2".into();
-    leader.add_stored_job(&id, &view.jobs["j-2"], 3.0);
+    leader.add_stored_job(&id, &replica.jobs["j-2"], 3.0);
     let mut now = 3.0;
     while worker.running() != ["j-2/0"] {
         now += 1.0;
@@ -81,25 +81,18 @@
     let on_time = job("j-2", 1);
     store.submit(&late);
     store.submit(&on_time);
-    let mut view = store.replica();
+    let mut replica = store.replica();
     for (id, submitted_at) in [("j-1", 1.0), ("j-2", 90.0)] {
-        view.jobs.get_mut(id).unwrap().submitted_at = Some(submitted_at);
-        leader.add_stored_job(&id.into(), &view.jobs[id], 100.0);
+        replica.jobs.get_mut(id).unwrap().submitted_at = Some(submitted_at);
+        leader.add_stored_job(&id.into(), &replica.jobs[id], 100.0);
     }
-    let names = |leader: &Leader, now| -> Vec<String> {
-        let order = leader.scheduling_order(now);
-        order
-            .iter()
-            .map(|index| leader.jobs[index].id.to_string())
-            .collect()
-    };
-    assert_eq!(names(&leader, 100.0), ["j-2", "j-1"]);
+    assert_eq!(job_ids_in_scheduling_order(&leader, 100.0), ["j-2", "j-1"]);
     // Late jobs become due again after some time.
-    assert_eq!(names(&leader, 175.0), ["j-1", "j-2"]);
+    assert_eq!(job_ids_in_scheduling_order(&leader, 175.0), ["j-1", "j-2"]);
 }
 
-/// Hundreds of jobs of one class arrive at once on a full fleet. They must neither delay the jobs of other classes nor be
-/// assigned beyond the capacity of the machines.
+/// Hundreds of jobs of one class arrive at once on a full fleet. They must neither delay the jobs of other classes nor
+/// be assigned beyond the capacity of the machines.
 #[test]
 fn an_arrival_burst_of_one_class_delays_that_class_only() {
     let mut store = FakeStore::default();
@@ -114,8 +107,8 @@
     let mut other = job("j-900", 1);
     other.priority = Priority::High;
     store.submit(&other);
-    let view = store.replica();
-    for (id, stored) in &view.jobs {
+    let replica = store.replica();
+    for (id, stored) in &replica.jobs {
         leader.add_stored_job(id, stored, 2.0);
     }
     store.schedule_and_write(&mut leader, 2.0);
@@ -127,8 +120,8 @@
     assert_eq!(assigned, 4);
 }
 
-/// A gang that needs all machines at once, with small gangs always pending. If the small gangs took each machine as soon
-/// as it has free capacity, the large gang would never start.
+/// A gang that needs all machines at once, with small gangs always pending. If the small gangs took each machine as
+/// soon as it has free capacity, the large gang would never start.
 #[test]
 fn a_large_gang_is_not_starved_by_small_ones() {
     let mut store = FakeStore::default();
@@ -168,7 +161,7 @@
         leader.maintain_fleet(now);
         fail_cloud_calls_until_deletion(&mut leader, now);
         store.schedule_and_write(&mut leader, now);
-        // The small gangs of one machine after the other complete, one machine in each round of 3 s.
+        // Small gangs run for up to six rounds of 3 s. The machines complete theirs in different rounds.
         for (i, worker) in workers.iter_mut().enumerate() {
             if (now / 3.0) as usize % 6 == i {
                 for task in worker.running().iter().filter(|t| !t.starts_with("j-5000")) {
@@ -189,8 +182,8 @@
     order.iter().map(id).collect()
 }
 
-/// An objective may be relative to the job's own deadline. If the scheduler skipped such objectives, the jobs would have
-/// no due time and their deadlines would not count.
+/// An objective may be relative to the job's own deadline. If the scheduler skipped such objectives, the jobs would
+/// have no due time and their deadlines would not count.
 #[test]
 fn jobs_are_ordered_by_deadline_and_small_ones_come_slightly_earlier() {
     let mut store = FakeStore::default();
@@ -221,8 +214,8 @@
     leader.config = Rc::new(config);
     let mut worker = FakeWorker::new("i-1", "big", "north");
     exchange_heartbeats(&mut worker, &mut leader, 0.5);
-    // j-1 has no deadline and therefore no due time. Of two jobs with the same deadline the smaller one, j-3, comes before
-    // the larger one, j-4. j-2 is small too, but comes last, as it is due more than a minute later.
+    // j-1 has no deadline and therefore no due time. Of two jobs with the same deadline the smaller one, j-3, comes
+    // before the larger one, j-4. j-2 is small too, but comes last, as it is due more than a minute later.
     assert_eq!(
         job_ids_in_scheduling_order(&leader, 1.0),
         ["j-1", "j-3", "j-4", "j-2"]
--- a/src/tests/scenarios/scaling.rs
+++ b/src/tests/scenarios/scaling.rs
@@ -8,8 +8,8 @@
 use crate::protocol::workers::{Command, ExitReason};
 use crate::test_support::{FakeStore, FakeWorker, job};
 
-/// A new leader knows neither the machine list nor the workers' heartbeats. If it rented machines for all jobs at once, it
-/// would rent a second fleet beside the existing one.
+/// A new leader knows neither the machine list nor the workers' heartbeats. If it rented machines for all jobs at once,
+/// it would rent a second fleet beside the existing one.
 #[test]
 fn a_new_leader_rents_no_machines_before_it_knows_the_fleet() {
     let mut store = FakeStore::default();
@@ -40,7 +40,7 @@
     assert_eq!(count_rentals(&mut leader, 101.0, machine), 0);
     assert!(count_rentals(&mut leader, 106.0, machine) > 0);
 
-    // An empty machine list means that no heartbeats are to be waited for.
+    // With an empty machine list there are no heartbeats to wait for.
     let mut leader = store.elect("n2", 200.0);
     assert_eq!(count_rentals(&mut leader, 200.0, "[]"), 0);
     assert!(count_rentals(&mut leader, 201.0, "[]") > 0);
@@ -54,7 +54,7 @@
 }
 
 /// A pool that rents out fewer machines than requested is exhausted. If the remaining machines were requested from it
-/// again, one request after the other, the requests to other pools would be delayed.
+/// again, ten more requests would go there, and the requests to other pools would wait for them.
 #[test]
 fn an_exhausted_pool_is_not_retried_and_other_pools_are_tried_at_once() {
     let mut store = FakeStore::default();
@@ -88,8 +88,8 @@
     assert_eq!((count("north"), count("south")), (1, 1), "{requests:?}");
 }
 
-/// The demand must be computed from the gang's own task size. By the mean task size of its class, most of whose jobs are
-/// small, the gang would fit on one machine; no further machine would be rented and the gang would never start.
+/// The demand must be computed from the gang's own task size. By the mean task size of its class, most of whose jobs
+/// are small, the gang would fit on one machine; no further machine would be rented and the gang would never start.
 #[test]
 fn machines_are_rented_for_a_gang_with_larger_tasks_than_its_class_mean() {
     let mut store = FakeStore::default();
@@ -141,8 +141,8 @@
     }
 }
 
-/// When demand falls, a single long task on each of a hundred machines would keep all of them for minutes. Tasks that save
-/// checkpoints can be moved to another machine at little cost, so that most machines can be returned.
+/// When demand falls, a single long task on each of a hundred machines would keep all of them for minutes. Tasks that
+/// save checkpoints can be moved to another machine at little cost, so that most machines can be returned.
 #[test]
 fn only_checkpointing_tasks_are_evicted_from_a_surplus_machine() {
     for has_checkpoints in [true, false] {
@@ -182,7 +182,8 @@
             fail_cloud_calls_until_deletion(&mut leader, now);
         }
         if has_checkpoints {
-            // Only the task of one machine is evicted, with time to save a checkpoint, and is assigned to the other one.
+            // Only the task of one machine is evicted, with time to save a checkpoint, and is assigned to the other
+            // one.
             assert_eq!(stops.len(), 1, "{stops:?}");
             assert_eq!(stops[0].1, 4.0);
             let kept = workers
@@ -196,8 +197,8 @@
     }
 }
 
-/// A gang that must be spread over zones can't run on the machines of one zone, even if their free capacity suffices. If
-/// the demand counted only the capacity, no machine would be rented in another zone and the gang would never start.
+/// A gang that must be spread over zones can't run on the machines of one zone, even if their free capacity suffices.
+/// If the demand counted only the capacity, no machine would be rented in another zone and the gang would never start.
 #[test]
 fn machines_in_a_second_zone_are_rented_for_a_gang_that_must_be_spread() {
     let mut store = FakeStore::default();
--- a/src/tests/scenarios/tasks.rs
+++ b/src/tests/scenarios/tasks.rs
@@ -11,8 +11,8 @@
 use crate::store::transaction::TxnOutcome;
 use crate::test_support::{FakeStore, FakeWorker, job};
 
-/// If a task were launched before its assignment is stored, a new leader would not know of it and would start the task on
-/// another machine too.
+/// If a task were launched before its assignment is stored, a new leader would not know of it and would start the task
+/// on another machine too.
 #[test]
 fn no_task_is_launched_before_its_assignment_is_stored() {
     let mut store = FakeStore::default();
@@ -28,8 +28,9 @@
     assert_eq!(count_launches(&worker.send_heartbeat(&mut leader, 3.0)), 0);
 }
 
-/// A reply of the former leader that carries a launch may still be on its way when the next leader is elected. If the new
-/// leader placed the task on another machine before the worker has seen the new fencing token, the task would run twice.
+/// A reply of the former leader that carries a launch may still be on its way when the next leader is elected. If the
+/// new leader placed the task on another machine before the worker has seen the new fencing token, the task would run
+/// twice.
 #[test]
 fn a_task_whose_launch_is_in_flight_at_a_failover_stays_assigned_to_its_machine() {
     let mut store = FakeStore::default();
@@ -72,8 +73,8 @@
 }
 
 /// A worker that has seen the new leader's fencing token rejects late launches of the former leader. An assigned task
-/// that it doesn't list is then placed again. The attempt number must be a new one: with the former number, reports about
-/// the two attempts could not be told apart.
+/// that it doesn't list is then placed again. The attempt number must be a new one: with the former number, reports
+/// about the two attempts could not be told apart.
 #[test]
 fn a_task_of_the_former_leader_is_placed_again_once_its_worker_is_fenced() {
     let (mut store, old, mut worker) = assign_without_launch(&job("j-1", 1));
@@ -190,8 +191,8 @@
     assert_eq!(worker.running().len(), 0);
 }
 
-/// The tasks of a gang run together or not at all. If a gang that lost a machine replaced only the lost task, tasks of two
-/// attempts would run side by side, and neither attempt would be complete.
+/// The tasks of a gang run together or not at all. If a gang that lost a machine replaced only the lost task, tasks of
+/// two attempts would run side by side, and neither attempt would be complete.
 #[test]
 fn a_gang_that_loses_a_machine_restarts_as_a_whole() {
     for all_launched in [false, true] {
@@ -230,8 +231,8 @@
     }
 }
 
-/// After a failover, tasks on machines that haven't sent a heartbeat yet may still be running. If the new leader did not
-/// count them, it would place more tasks of the team than its limit allows.
+/// After a failover, tasks on machines that haven't sent a heartbeat yet may still be running. If the new leader did
+/// not count them, it would place more tasks of the team than its limit allows.
 #[test]
 fn the_limit_of_a_team_holds_across_a_failover() {
     let mut store = FakeStore::default();
@@ -261,6 +262,7 @@
     assert_eq!(count_launches(&other.send_heartbeat(&mut new, 33.0)), 20);
 }
 
+/// A service ends only by cancellation: a task that exits, even as done, must be launched again.
 #[test]
 fn a_service_is_never_done_and_its_tasks_are_launched_again() {
     let mut store = FakeStore::default();
--- a/src/tests/scenarios/writes.rs
+++ b/src/tests/scenarios/writes.rs
@@ -12,8 +12,8 @@
 use crate::store::transaction::TxnOutcome;
 use crate::test_support::{FakeStore, FakeWorker, job};
 
-/// A transaction whose reply is lost may or may not have been applied. The leader must not launch its assignments before
-/// it knows; it sends the transaction again and, on a conflict, reads one of the written keys back.
+/// A transaction whose reply is lost may or may not have been applied. The leader must not launch its assignments
+/// before it knows; it sends the transaction again and, on a conflict, reads one of the written keys back.
 #[test]
 fn a_transaction_without_a_reply_is_settled_by_reading_back() {
     for applied in [true, false] {
@@ -135,8 +135,8 @@
             .iter()
             .all(|worker| worker.heartbeat.tasks.is_empty())
     );
-    // The end stays stored when the job's other records are deleted. Entries for the job that are left in the assignment
-    // log are ignored.
+    // The end stays stored when the job's other records are deleted. Entries for the job that are left in the
+    // assignment log are ignored.
     let next = store.elect("n2", now + 10.0);
     assert_eq!((next.jobs.len(), next.fleet.machines.len()), (0, 0));
 }
@@ -177,9 +177,9 @@
     assert_eq!(assigned, [140]);
 }
 
-/// If each job had assignment records of its own, the launches of some dozens of jobs would wait for the state service's
-/// limited write rate. All jobs share one log, so that the number of writes doesn't grow with the number of jobs. Old
-/// records are deleted, but no entry that is still valid may be lost with them.
+/// If each job had assignment records of its own, the launches of some dozens of jobs would wait for the state
+/// service's limited write rate. All jobs share one log, so that the number of writes doesn't grow with the number of
+/// jobs. Old records are deleted, but no entry that is still valid may be lost with them.
 #[test]
 fn the_assignment_log_of_many_jobs_takes_few_writes_and_keeps_valid_entries() {
     let mut store = FakeStore::default();
@@ -283,8 +283,8 @@
     }
 }
 
-/// Tasks of many jobs complete all the time. Under a low write limit, if each completion took one of the few writes, the
-/// ends of jobs and with them the starts of their dependents would be late by as much as a hundred seconds.
+/// Tasks of many jobs complete all the time. Under a low write limit, if each completion took one of the few writes,
+/// the ends of jobs and with them the starts of their dependents would be late by as much as a hundred seconds.
 #[test]
 fn the_assignment_log_does_not_delay_the_ends_of_jobs() {
     let mut store = FakeStore::default();
--- a/src/tests/scenarios/zones.rs
+++ b/src/tests/scenarios/zones.rs
@@ -12,8 +12,9 @@
 use crate::store::transaction::TxnOutcome;
 use crate::test_support::{FakeStore, FakeWorker, job};
 
-/// The autoscaler prefers the zone with the fewest machines. When a partition makes all machines of a zone count as lost,
-/// their replacements must not be rented there: they would boot, and be unreachable as long as the partition lasts.
+/// The autoscaler prefers the zone with the fewest machines. When a partition makes all machines of a zone count as
+/// lost, their replacements must not be rented there: they would boot, and be unreachable as long as the partition
+/// lasts.
 #[test]
 fn no_machines_are_rented_in_a_partitioned_zone() {
     let mut store = FakeStore::default();
@@ -128,9 +129,9 @@
         .map(|delegation| delegation.record.clone())
 }
 
-/// Delegates renew the leases of workers in a partitioned zone, so that their tasks run on although the leader receives no
-/// heartbeats. If the leader freed these tasks for silence, they would run twice. Silence counts again one worker lease
-/// after the delegation was revoked.
+/// Delegates renew the leases of workers in a partitioned zone, so that their tasks run on although the leader receives
+/// no heartbeats. If the leader freed these tasks for silence, they would run twice. Silence counts again one worker
+/// lease after the delegation was revoked.
 #[test]
 fn tasks_in_a_delegated_zone_are_not_freed_for_silence() {
     let (mut store, mut leader, mut north, mut south) = partitioned_south();
@@ -161,8 +162,8 @@
     assert_eq!(assigned_tasks(&leader), 15);
 }
 
-/// A delegation record is written when the zone is delegated and when the delegation is revoked. If a late copy of the
-/// first write were applied after the second, delegates would act on a revoked delegation.
+/// A delegation record is written at most twice: when the zone is delegated, and when the delegation is revoked. If a
+/// late copy of the first write were applied after the second, delegates would act on a revoked delegation.
 #[test]
 fn a_late_copy_of_a_delegation_write_changes_nothing() {
     let (mut store, mut leader, mut north, mut south) = partitioned_south();
@@ -224,8 +225,8 @@
         let job = leader.jobs.values().next().unwrap();
         assert_eq!((job.done_tasks, job.assigned_tasks), (1, 26));
     }
-    // The lost task runs on another machine. A late copy of the relay doesn't free the task that the restarted worker was
-    // given meanwhile.
+    // The lost task runs on another machine. A late copy of the relay doesn't free the task that the restarted worker
+    // was given meanwhile.
     send_heartbeats_only_from(&mut store, &mut leader, &mut north, 16.0, 18.0);
     south[1].heartbeat.agent_epoch = 2;
     south[1].heartbeat.tasks.clear();
--- a/src/tests/state_limits.rs
+++ b/src/tests/state_limits.rs
@@ -1,5 +1,6 @@
-//! Everything written fits the state service's limits (value size, operations of a transaction, writes a second), for
-//! generated limits and jobs.
+//! All writes keep to the limits of the state service (value size, changes in a transaction, changes per second), for
+//! generated limits and jobs. A write over a size limit is rejected each time that it is repeated, and blocks all later
+//! writes.
 
 use std::collections::BTreeSet;
 
@@ -19,12 +20,14 @@
 use crate::store::transaction::TxnOutcome;
 use crate::test_support::{FakeStore, FakeWorker, job};
 
+/// Wall-clock time at moment 0, in milliseconds since the Unix epoch.
 const UNIX_MS: u64 = 1_796_000_000_000;
-/// Protocol limits: bytes of a transaction, and conditions for each allowed change.
+/// Limits of the protocol: bytes of a transaction, and conditions per allowed change.
 const TXN_BYTES: usize = 64 * 1024;
 const CONDITIONS_PER_CHANGE: usize = 4;
-/// Digits of the longest job id.
+/// Number of digits of the longest job id.
 const ID_DIGITS: usize = 18;
+/// Interval of the simulated clock, in seconds.
 const STEP_S: f64 = 0.1;
 
 fn draw_limits(rng: &mut SmallRng) -> StateLimits {
@@ -38,11 +41,14 @@
 }
 
 fn assert_fits(txn: &Txn, limits: &StateLimits) {
-    let value_max = (limits.value_kb * 1024.0) as usize;
+    let value_bytes_max = (limits.value_kb * 1024.0) as usize;
     for change in &txn.changes {
         if let Change::Put { key, value, .. } = change {
             let bytes = value.get().len();
-            assert!(bytes <= value_max, "{key}: {bytes} of {value_max}");
+            assert!(
+                bytes <= value_bytes_max,
+                "{key}: {bytes} of {value_bytes_max}"
+            );
         }
     }
     assert!(txn.changes.len() <= limits.txn_ops, "{txn:?}");
@@ -61,8 +67,8 @@
     spec.image = "i".repeat(length);
     spec.types = rng.random_bool(0.3).then(|| vec!["t".repeat(length); 3]);
     spec.deadline_s = rng.random_bool(0.5).then_some(1234.5);
-    let needs = [0, 1, 30, 400, 800, 2500][rng.random_range(0..6)];
-    spec.waits_on = (0..needs)
+    let dependencies = [0, 1, 30, 400, 800, 2500][rng.random_range(0..6)];
+    spec.waits_on = (0..dependencies)
         .map(|n| match rng.random_range(0..2) {
             0 => long_id(5000 + n),
             _ => format!("j-{}", 5000 + n),
@@ -71,10 +77,10 @@
     spec
 }
 
-/// A submission is stored in values that fit, from which all its dependencies are read back; or it is rejected at
-/// once as too large to store.
+/// A submission with many dependencies is split over several values, from which a replica must read all dependencies
+/// back. Only a submission that is too large to store may be rejected, and must be rejected at once.
 #[test]
-fn submissions_fit_or_are_rejected() {
+fn submissions_fit_the_limits_or_are_rejected() {
     let mut rng = SmallRng::seed_from_u64(3);
     let (mut stored, mut split) = (0, 0);
     for _ in 0..600 {
@@ -82,15 +88,21 @@
         let spec = draw_submission(&mut rng);
         let Ok(txn) = job_creation(&spec, UNIX_MS, None, &limits) else {
             let bytes = serde_json::to_vec(&spec).unwrap().len() as f64;
-            let room = limits.value_kb * 1024.0 * (limits.txn_ops - 1) as f64;
-            // Each id counts as the longest, and a value may hold one id less than would fit.
-            let hopeless = bytes * 2.0 + 1024.0 > room.min(TXN_BYTES as f64);
-            let own = Submission {
+            let bytes_max = limits.value_kb * 1024.0 * (limits.txn_ops - 1) as f64;
+            // The factor of 2 covers the split, which counts each id as the longest one and may put one id less into a
+            // value than would fit.
+            let too_large = bytes * 2.0 + 1024.0 > bytes_max.min(TXN_BYTES as f64);
+            // The other fields can't be split: they must fit one value.
+            let without_dependencies = Submission {
                 waits_on: Vec::new(),
                 ..spec.clone()
             };
-            let own = serde_json::to_vec(&own).unwrap().len() as f64 + 64.0;
-            assert!(hopeless || own > limits.value_kb * 1024.0, "{limits:?}");
+            let first_bytes =
+                serde_json::to_vec(&without_dependencies).unwrap().len() as f64 + 64.0;
+            assert!(
+                too_large || first_bytes > limits.value_kb * 1024.0,
+                "{limits:?}"
+            );
             continue;
         };
         assert_fits(&txn, &limits);
@@ -98,39 +110,55 @@
         split += u32::from(txn.changes.len() > 1);
         let mut store = FakeStore::default();
         assert!(matches!(store.apply(&txn), TxnOutcome::Applied(_)));
-        let mut view = StateReplica::default();
+        let mut replica = StateReplica::default();
         for (key, (value, version)) in &store.keys {
-            view.apply(key, Some(value), *version);
+            replica.apply(key, Some(value), *version);
         }
-        view.finish_load(0.0, UNIX_MS);
-        let read = view.jobs[spec.id.as_str()].spec.clone().unwrap();
-        let ids = |spec: &Submission| spec.waits_on.iter().cloned().collect::<BTreeSet<_>>();
-        assert_eq!(ids(&read), ids(&spec));
+        replica.finish_load(0.0, UNIX_MS);
+        let read_back = replica.jobs[spec.id.as_str()].spec.clone().unwrap();
+        let dependencies =
+            |spec: &Submission| spec.waits_on.iter().cloned().collect::<BTreeSet<_>>();
+        assert_eq!(dependencies(&read_back), dependencies(&spec));
     }
     assert!(stored > 200 && split > 50, "{stored} stored, {split} split");
 }
 
-/// Write rate limiter of the state service.
-struct Meter {
+/// Token bucket of the state service for changes; holds one second's worth of them.
+struct WriteBucket {
+    /// Changes per second.
     rate: f64,
-    left: f64,
-    at: Time,
+    tokens: f64,
+    updated_at: Time,
 }
 
-impl Meter {
+impl WriteBucket {
+    fn full(rate: f64) -> Self {
+        WriteBucket {
+            rate,
+            tokens: rate,
+            updated_at: 0.0,
+        }
+    }
+
     fn take(&mut self, changes: usize, now: Time) {
-        self.left = (self.left + (now - self.at) * self.rate).min(self.rate) - changes as f64;
-        self.at = now;
-        assert!(self.left >= -1e-6, "{now:.1}: too many changes");
+        let refill = (now - self.updated_at) * self.rate;
+        self.tokens = (self.tokens + refill).min(self.rate) - changes as f64;
+        self.updated_at = now;
+        assert!(self.tokens >= -1e-6, "{now:.1}: too many changes");
     }
 }
 
-/// Applies all transactions that are due, within the limits.
-fn write(store: &mut FakeStore, leader: &mut Leader, meter: &mut Meter, now: Time) {
+/// Applies all transactions that the leader writes now, each of which must keep to the limits.
+fn apply_due_transactions(
+    store: &mut FakeStore,
+    leader: &mut Leader,
+    bucket: &mut WriteBucket,
+    now: Time,
+) {
     let limits = leader.config.deployment.state.clone();
     while let Some(txn) = leader.next_transaction(now) {
         assert_fits(&txn, &limits);
-        meter.take(txn.changes.len(), now);
+        bucket.take(txn.changes.len(), now);
         let outcome = store.apply(&txn);
         assert_ne!(
             leader.on_transaction_outcome(outcome, now),
@@ -145,45 +173,43 @@
     config
 }
 
-fn machines(count: usize, name_length: usize) -> Vec<FakeWorker> {
+fn big_workers(count: usize, extra_name_length: usize) -> Vec<FakeWorker> {
     (0..count)
         .map(|i| {
-            let name = format!("i-{i:06}{}", "x".repeat(name_length));
+            let name = format!("i-{i:06}{}", "x".repeat(extra_name_length));
             FakeWorker::new(&name, "big", "north")
         })
         .collect()
 }
 
-/// Jobs run and end one after the other, with a failover in the middle; the new leader knows all of them.
+/// All transactions of leaders keep to the limits while jobs with many tasks and long machine names run to their end,
+/// also across a failover. All jobs end, although records may have to be split under small limits.
 #[test]
-fn leader_transactions_fit() {
+fn transactions_of_leaders_fit_the_limits_and_all_jobs_end() {
     for seed in 0..10 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let limits = draw_limits(&mut rng);
-        let mut meter = Meter {
-            rate: limits.write_rps,
-            left: limits.write_rps,
-            at: 0.0,
-        };
+        let mut bucket = WriteBucket::full(limits.write_rps);
         let mut store = FakeStore::default();
-        let mut workers = machines(3, [0, 30, 150][rng.random_range(0..3)]);
+        let mut workers = big_workers(3, [0, 30, 150][rng.random_range(0..3)]);
         let ids: Vec<String> = (0..rng.random_range(1..6)).map(long_id).collect();
-        for (at, id) in ids.iter().enumerate() {
+        for (index, id) in ids.iter().enumerate() {
             let mut spec = job(id, [1, 7, 60, 250][rng.random_range(0..4)]);
             (spec.cpus, spec.memory_gb) = (0.1, 0.1);
-            if at > 0 && rng.random_bool(0.5) {
-                spec.waits_on = ids[..at].to_vec();
+            if index > 0 && rng.random_bool(0.5) {
+                spec.waits_on = ids[..index].to_vec();
             }
-            let txn = job_creation(&spec, UNIX_MS, None, &limits).expect("it fits");
+            let txn = job_creation(&spec, UNIX_MS, None, &limits)
+                .expect("the submission fits the limits");
             store.apply(&txn);
         }
         let mut leader = store.elect_with(config_with(limits.clone()), "n0", 0.0);
-        let open = |store: &FakeStore| {
+        let has_open_jobs = |store: &FakeStore| {
             ids.iter()
                 .any(|id| !store.keys.contains_key(&keys::job_end(id)))
         };
         let mut step = 0;
-        while open(&store) {
+        while has_open_jobs(&store) {
             step += 1;
             let now = f64::from(step) * STEP_S;
             assert!(now < 900.0, "seed {seed}: jobs never end");
@@ -191,30 +217,31 @@
                 leader = store.elect_with(config_with(limits.clone()), "n1", now);
             }
             if step % 10 == 0 {
-                for w in &mut workers {
-                    w.send_heartbeat(&mut leader, now);
-                    for task in w.running() {
+                for worker in &mut workers {
+                    worker.send_heartbeat(&mut leader, now);
+                    for task in worker.running() {
                         if rng.random_bool(0.2) {
-                            w.exit_task(&task, ExitReason::Done);
+                            worker.exit_task(&task, ExitReason::Done);
                         }
                     }
                 }
-                let view = store.replica();
-                for (id, known) in view.jobs.iter().filter(|(_, known)| !known.is_blocked) {
-                    if known.end.is_none() {
+                let replica = store.replica();
+                for (id, job) in replica.jobs.iter().filter(|(_, job)| !job.is_blocked) {
+                    if job.end.is_none() {
                         leader.on_ready(id, now);
                     }
                 }
             }
             leader.schedule(now);
-            write(&mut store, &mut leader, &mut meter, now);
+            apply_due_transactions(&mut store, &mut leader, &mut bucket, now);
         }
     }
 }
 
-/// The largest job there is, on machines with long names, under the smallest limits.
+/// The assignments of an array of 100,000 tasks, the largest allowed, on machines with long names must be stored under
+/// small limits, in many records.
 #[test]
-fn the_largest_job_is_stored_within_small_limits() {
+fn assignments_of_the_largest_array_are_stored_under_small_limits() {
     let limits = StateLimits {
         rps: 100.0,
         write_rps: 15.0,
@@ -227,59 +254,56 @@
     (spec.cpus, spec.memory_gb) = (0.005, 0.005);
     store.submit(&spec);
     let mut leader = store.elect_with(config_with(limits), "n0", 0.0);
-    for w in &mut machines(10, 100) {
-        w.send_heartbeat(&mut leader, 1.0);
-        w.send_heartbeat(&mut leader, 1.0);
+    for worker in &mut big_workers(10, 100) {
+        worker.send_heartbeat(&mut leader, 1.0);
+        worker.send_heartbeat(&mut leader, 1.0);
     }
-    let mut meter = Meter {
-        rate: 15.0,
-        left: 15.0,
-        at: 0.0,
-    };
+    let mut bucket = WriteBucket::full(15.0);
     leader.schedule(1.0);
     let mut now = 1.0;
     while leader.next_write_at().is_some() {
         now += STEP_S;
-        assert!(now < 400.0, "never stored");
-        write(&mut store, &mut leader, &mut meter, now);
+        assert!(now < 400.0, "the assignments were never stored");
+        apply_due_transactions(&mut store, &mut leader, &mut bucket, now);
     }
-    let view = store.replica();
-    let known = view.jobs[spec.id.as_str()].status(&spec.id);
-    assert_eq!(known.running, 100_000);
-    assert!(store.keys.keys().any(|k| *k != keys::leader()));
+    let replica = store.replica();
+    let status = replica.jobs[spec.id.as_str()].status(&spec.id);
+    assert_eq!(status.running, 100_000);
+    assert!(store.keys.keys().any(|key| *key != keys::leader()));
 }
 
-/// Relay records fit, however scattered the tasks are.
+/// A delegate's relay records fit the value size even if the completed tasks form many short ranges. Records that don't
+/// fit are split, and each completed task must be in one of them.
 #[test]
-fn relay_records_fit() {
+fn relay_records_fit_the_value_size() {
     let mut rng = SmallRng::seed_from_u64(5);
     for _ in 0..60 {
-        let limit = (draw_limits(&mut rng).value_kb * 1024.0) as usize;
+        let bytes_max = (draw_limits(&mut rng).value_kb * 1024.0) as usize;
         let mut relay = Relay::new(7);
-        let mut w = FakeWorker::new(&format!("i-{}", "x".repeat(100)), "small", "south");
-        w.heartbeat.fencing_token = 7;
+        let mut worker = FakeWorker::new(&format!("i-{}", "x".repeat(100)), "small", "south");
+        worker.heartbeat.fencing_token = 7;
         let mut expected = BTreeSet::new();
         for _ in 0..rng.random_range(1..400) {
             let id = long_id(rng.random_range(0..3));
             let task = format!("{id}/{}", rng.random_range(0..5000));
             if expected.insert(task.clone()) {
-                let start = Command::Start {
+                let launch = Command::Start {
                     task: task.clone(),
                     attempt: u64::MAX / 2,
                 };
-                w.execute(7, &[start]);
-                w.exit_task(&task, ExitReason::Done);
+                worker.execute(7, &[launch]);
+                worker.exit_task(&task, ExitReason::Done);
             }
         }
-        relay.record(&w.heartbeat);
+        relay.record(&worker.heartbeat);
         let mut recorded = BTreeSet::new();
         loop {
-            let record = relay.take_record("south", limit);
+            let record = relay.take_record("south", bytes_max);
             if record.jobs.is_empty() && record.agent_epochs.is_empty() {
                 break;
             }
             let bytes = serde_json::to_string(&record).unwrap().len();
-            assert!(bytes <= limit, "{bytes} of {limit}");
+            assert!(bytes <= bytes_max, "{bytes} of {bytes_max}");
             for job in &record.jobs {
                 let tasks = job.done.iter().flat_map(|range| range.tasks());
                 recorded.extend(tasks.map(|task| format!("{}/{task}", job.id)));
