--- a/src/leader/attempt_release.rs
+++ b/src/leader/attempt_release.rs
@@ -1,4 +1,4 @@
-//! Attempts that are surely off their machine: released, so that their tasks can be placed again.
+//! Release of attempts that are certain to be off their machine, so that their tasks can be placed again.
 
 use super::Leader;
 use crate::fleet::AttemptKey;
@@ -7,32 +7,39 @@
 use crate::runtime::Time;
 
 impl Leader {
-    /// Releases the attempts that are surely off their machine as its worker's lease has expired.
+    /// Releases all attempts on machines whose worker's lease has expired, as the worker can't be running them any
+    /// more. On machines that are overdue or unresponsive, releases the attempts that were never launched.
     pub(crate) fn expire_leases(&mut self, now: Time) {
-        for (index, key) in self.fleet.expired_attempts(now) {
-            self.release_attempt(index, key, now);
+        for (machine_index, key) in self.fleet.expired_attempts(now) {
+            self.release_attempt(machine_index, key, now);
         }
     }
 
-    /// Removes a machine that is gone, with all that was on it.
-    pub(crate) fn remove_machine(&mut self, index: MachineIndex, now: Time) {
-        let keys: Vec<AttemptKey> = match self.fleet.machines.get(&index) {
+    /// Releases all attempts on a machine that no longer exists, and removes the machine.
+    pub(crate) fn remove_machine(&mut self, machine_index: MachineIndex, now: Time) {
+        let keys: Vec<AttemptKey> = match self.fleet.machines.get(&machine_index) {
             Some(machine) => machine.attempts.keys().copied().collect(),
             None => return,
         };
         for key in keys {
-            self.release_attempt(index, key, now);
+            self.release_attempt(machine_index, key, now);
         }
-        self.fleet.remove(index);
+        self.fleet.remove(machine_index);
         self.request_placement();
     }
 
-    /// Releases an attempt that is surely off a machine.
-    pub(crate) fn release_attempt(&mut self, index: MachineIndex, key: AttemptKey, now: Time) {
+    /// Releases an attempt that is certain to be off its machine: frees its resources and, if the task is still
+    /// assigned to that machine as this attempt, makes the task pending again.
+    pub(crate) fn release_attempt(
+        &mut self,
+        machine_index: MachineIndex,
+        key: AttemptKey,
+        now: Time,
+    ) {
         let Some(task_attempt) = self
             .fleet
             .machines
-            .get_mut(&index)
+            .get_mut(&machine_index)
             .and_then(|machine| machine.remove_attempt(&key))
         else {
             return;
@@ -43,13 +50,13 @@
             return;
         }
         if matches!(task_attempt.state, None | Some(TaskState::Fetching)) {
-            self.cancel_image_fetch(index, key.job);
+            self.cancel_image_fetch(machine_index, key.job);
         }
         self.release_team(key.job);
         if self.jobs[&key.job].is_gang() {
             self.attribute_gang_failure(key.job);
         }
-        if self.is_bound(index, key) {
+        if self.is_current_assignment(machine_index, key) {
             if let Some(job) = self.jobs.get_mut(&key.job) {
                 job.release(key.task);
             }
@@ -60,17 +67,21 @@
         self.mark_if_finished(key.job);
     }
 
-    /// Whether a task is assigned to a machine as this attempt.
-    pub(super) fn is_bound(&self, index: MachineIndex, key: AttemptKey) -> bool {
+    /// Returns whether a task is currently assigned to this machine as this attempt.
+    pub(super) fn is_current_assignment(
+        &self,
+        machine_index: MachineIndex,
+        key: AttemptKey,
+    ) -> bool {
         matches!(self.jobs[&key.job].task(key.task),
-            Task::Assigned { machine, attempt, .. } if machine == index && attempt == key.attempt)
+            Task::Assigned { machine, attempt, .. } if machine == machine_index && attempt == key.attempt)
     }
 
-    /// A task came off a machine before it had its image: if no other attempt there uses the image, its fetch
-    /// is cancelled.
-    fn cancel_image_fetch(&mut self, index: MachineIndex, job: JobIndex) {
+    /// Cancels the fetch of a job's image in the leader's model of the machine's cache, unless another attempt on the
+    /// machine uses the image. The worker cancels a fetch that none of its tasks needs any more, too.
+    fn cancel_image_fetch(&mut self, machine_index: MachineIndex, job: JobIndex) {
         let image = &self.jobs[&job].spec.image;
-        if let Some(machine) = self.fleet.machines.get_mut(&index)
+        if let Some(machine) = self.fleet.machines.get_mut(&machine_index)
             && !machine
                 .attempts
                 .keys()
