--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,7 +1,8 @@
-//! The machines: what is known of each machine and its worker, and when a task is surely off it.
+//! The leader's view of the machines: the state of each machine and its worker, and the proof that a task no longer
+//! runs on a machine.
 //!
-//! [`Fleet`] owns the machines, the queue of direct calls and the state of the zones. What also concerns jobs and writes
-//! is the leader's, see `leader::reconciliation` and `leader::direct_commands`.
+//! [`Fleet`] owns the machines, the queue of direct calls and the state of the zones. Logic that also changes jobs or
+//! writes to the state service is in `leader::reconciliation` and `leader::direct_commands`.
 
 mod delegations;
 mod direct_calls;
@@ -23,31 +24,33 @@
 pub use task_attempt::{AttemptKey, DirectLaunchState, TaskAttempt};
 use zones::ZoneMonitor;
 
-/// All known machines.
+/// All machines that the leader knows in its present term.
 pub struct Fleet {
     /// The machines, by their index.
     pub machines: BTreeMap<MachineIndex, Machine>,
-    /// Machines that a direct call may be wanted for.
+    /// Machines with a requested direct call. Entries whose request was met are dropped when due calls are collected.
     pub direct_call_queue: BTreeSet<MachineIndex>,
-    /// The state of the zones: partitions and delegations.
+    /// Contacts, partitions and delegations of the zones.
     pub(crate) zones: ZoneMonitor,
     index_by_name: HashMap<Rc<str>, MachineIndex>,
     next_index: MachineIndex,
     config: Rc<Config>,
-    /// The fencing token of this term.
+    /// The fencing token of this term of leadership.
     fencing_token: u64,
-    /// When this term began.
+    /// When this term of leadership began.
     term_started_at: Time,
-    /// Silence after which a worker has surely ended its tasks, in seconds.
+    /// Time in seconds after which the lease of a silent worker has expired and its tasks have ended, whatever the
+    /// drift of its clock.
     pub(crate) worker_lease_expiry_s: f64,
-    /// When any worker last made contact.
+    /// When any worker last made contact; the start of the term before the first contact.
     last_worker_contact: Time,
-    /// The last pause of this process.
+    /// The last pause of this process. Messages that didn't arrive during a pause are not counted as silence of a
+    /// machine.
     pause: ProcessPause,
 }
 
 impl Fleet {
-    /// A fleet without machines, in a term that begins now.
+    /// Creates a fleet without machines, for a term that begins now.
     pub(crate) fn new(
         config: Rc<Config>,
         fencing_token: u64,
@@ -69,8 +72,9 @@
         }
     }
 
-    /// Whether a machine may be given new work: its worker has shown this leader's fencing token, acknowledges its answers
-    /// and is not overdue, and the machine stays and isn't held back for failures.
+    /// Returns whether a machine may be given new work: its worker has shown this leader's fencing token, acknowledges
+    /// the leader's answers and is not overdue, and the machine is not terminating, draining, quarantined, about to be
+    /// preempted or in backoff after failures.
     pub(crate) fn is_schedulable(&self, machine: &Machine, now: Time) -> bool {
         !self.is_heartbeat_overdue(machine, now)
             && machine.unacknowledged_heartbeats == 0
@@ -82,12 +86,12 @@
             && machine.backoff_until <= now
     }
 
-    /// The index of the machine with this name.
+    /// Returns the index of the machine with this name.
     pub fn find(&self, name: &str) -> Option<MachineIndex> {
         self.index_by_name.get(name).copied()
     }
 
-    /// The index of the machine with this name, which is added if it isn't known yet.
+    /// Returns the index of the machine with this name. Adds the machine if it is unknown.
     pub fn get_or_insert(&mut self, name: &str, zone: &str, now: Time) -> MachineIndex {
         if let Some(index) = self.find(name) {
             return index;
@@ -101,7 +105,7 @@
         index
     }
 
-    /// Removes a machine.
+    /// Removes a machine and returns its last state; its index is not reused.
     pub fn remove(&mut self, index: MachineIndex) -> Option<Machine> {
         let machine = self.machines.remove(&index)?;
         self.index_by_name.remove(&machine.name);
--- a/src/fleet/delegations.rs
+++ b/src/fleet/delegations.rs
@@ -1,11 +1,13 @@
 //! Delegations: permissions for other controllers to answer the workers of a partitioned zone in the leader's name.
 //!
-//! A delegation is a record of the leader in the store, bound to its fencing token: any controller that a
-//! worker of the zone turns to may answer its heartbeat, if the store shows, by a read begun after the
-//! heartbeat arrived, that the leader still leads and the delegation is in force. Such an answer carries
-//! no commands; it renews the worker's lease. A later leader's term began after that read, and so
-//! after the heartbeat was sent, so it waits long enough in any case. The present leader frees nothing
-//! for silence in that zone from before it asks the store for the delegation until a lease after the delegation was
+//! A delegation is a record that the leader writes to the store, bound to its fencing token. It lets any controller
+//! that a worker of the zone contacts (a delegate) answer the worker's heartbeat, provided that a store read which
+//! began after the heartbeat arrived shows that the leader still leads and that the delegation is in force. Such an
+//! answer carries no commands, but it renews the worker's lease.
+//!
+//! A renewal by a delegate doesn't endanger a later leader: its term begins after that read, hence after the heartbeat
+//! was sent, and it waits a full lease expiry from the start of its term. The present leader releases no attempt in
+//! that zone because of silence from before it requests the delegation until one lease expiry after the delegation was
 //! revoked.
 
 use std::collections::BTreeMap;
@@ -17,30 +19,36 @@
 use crate::store::records::DelegationRecord;
 use crate::store::transaction::put_change;
 
-/// What the store holds of a delegation.
+/// The state of a delegation's record in the store, as far as this leader knows.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum DelegationState {
-    /// Nothing is known to be stored.
+    /// No write of the record is known to have been applied.
     Unstored,
-    /// It is in force; its key has this revision.
-    Active { revision: u64 },
-    /// It was known to be revoked at this moment.
-    Revoked { at: Time },
+    /// The delegation is in force.
+    Active {
+        /// The revision of the record, which the write that revokes it is conditional on.
+        revision: u64,
+    },
+    /// The delegation is revoked.
+    Revoked {
+        /// When this leader learned that the write was applied.
+        at: Time,
+    },
 }
 
 /// The delegation of a zone.
 #[derive(Debug)]
 struct Delegation {
     key: String,
-    /// Whether it should be in force; once it isn't wanted it never is again.
+    /// The desired state: whether the delegation should be in force. Changes once at most, from true to false.
     wanted: bool,
     state: DelegationState,
-    /// A write of it has not been answered yet.
+    /// Whether a write of the record has not been answered yet.
     write_in_flight: bool,
 }
 
 impl Delegation {
-    /// Whether what is stored of it isn't what is wanted.
+    /// Returns whether the stored record differs from the desired state.
     fn needs_write(&self) -> bool {
         match self.state {
             DelegationState::Unstored => self.wanted,
@@ -49,14 +57,14 @@
         }
     }
 
-    /// Whether it is in force and should be.
+    /// Returns whether the delegation is in force and is to stay so.
     fn is_active(&self) -> bool {
         self.wanted && matches!(self.state, DelegationState::Active { .. })
     }
 
-    /// Whether a delegate may still have answered workers within the last `lease_s` seconds, or may yet. One that was
-    /// never sent to the store ends without a write.
-    fn matters(&self, lease_s: f64, now: Time) -> bool {
+    /// Returns whether a delegate may have answered workers within the last `lease_s` seconds, or may still answer
+    /// them. A delegation that was never sent to the store and is no longer wanted ends without a write.
+    fn may_affect_leases(&self, lease_s: f64, now: Time) -> bool {
         match self.state {
             DelegationState::Unstored => self.wanted || self.write_in_flight,
             DelegationState::Active { .. } => true,
@@ -65,25 +73,25 @@
     }
 }
 
-/// A write of a zone's delegation.
+/// A conditional write that stores or revokes a zone's delegation.
 pub(super) struct DelegationWrite {
     pub(super) zone: Rc<str>,
     pub(super) condition: Condition,
     pub(super) change: Change,
 }
 
-/// The delegations of this term.
+/// The delegations of this term of leadership, at most one per zone.
 #[derive(Debug, Default)]
 pub(super) struct Delegations {
     by_zone: BTreeMap<Rc<str>, Delegation>,
-    /// The number of the latest, by which its key differs from those of the others.
+    /// The number of the latest delegation. The number makes each delegation's key unique within the term.
     last_number: u64,
 }
 
 impl Delegations {
-    /// Up to when a delegate may have answered a worker of a zone, as far as the
-    /// worker's lease goes; none if there is no delegation.
-    pub(super) fn answered_until(&self, zone: &str, now: Time) -> Option<Time> {
+    /// Returns the latest time at which a delegate may have answered a worker of a zone and so renewed the worker's
+    /// lease. None if there is no delegation.
+    pub(super) fn last_possible_answer(&self, zone: &str, now: Time) -> Option<Time> {
         let delegation = self.by_zone.get(zone)?;
         Some(match delegation.state {
             DelegationState::Revoked { at } => at,
@@ -91,10 +99,10 @@
         })
     }
 
-    /// Wants a delegation for a zone, unless it has one that isn't revoked yet.
+    /// Requests a delegation for a zone, unless the zone has one that isn't revoked yet.
     pub(super) fn request(&mut self, zone: &Rc<str>, fencing_token: u64) {
-        let revoked = |d: &Delegation| matches!(d.state, DelegationState::Revoked { .. });
-        if self.by_zone.get(zone).is_none_or(revoked) {
+        let is_revoked = |d: &Delegation| matches!(d.state, DelegationState::Revoked { .. });
+        if self.by_zone.get(zone).is_none_or(is_revoked) {
             self.last_number += 1;
             let delegation = Delegation {
                 key: keys::delegation(fencing_token, self.last_number),
@@ -106,8 +114,9 @@
         }
     }
 
-    /// Revokes the delegations of zones that aren't partitioned any more, and drops those that don't matter any more.
-    pub(super) fn retain(
+    /// Revokes the delegations of zones that are no longer partitioned, and drops those that can no longer affect a
+    /// worker's lease.
+    pub(super) fn revoke_and_prune(
         &mut self,
         is_partitioned: impl Fn(&str) -> bool,
         lease_s: f64,
@@ -115,11 +124,11 @@
     ) {
         self.by_zone.retain(|zone, delegation| {
             delegation.wanted &= is_partitioned(zone);
-            delegation.matters(lease_s, now)
+            delegation.may_affect_leases(lease_s, now)
         });
     }
 
-    /// The zones with a delegation in force.
+    /// Returns the zones with a delegation in force that is to stay so.
     pub(super) fn active_zones(&self) -> impl Iterator<Item = &Rc<str>> {
         let delegations = self.by_zone.iter();
         delegations
@@ -127,15 +136,20 @@
             .map(|(zone, _)| zone)
     }
 
-    /// At most `most` writes that are due.
-    pub(super) fn take_writes(&mut self, fencing_token: u64, most: usize) -> Vec<DelegationWrite> {
+    /// Returns at most `max_writes` writes that are due, and marks them as in flight.
+    pub(super) fn take_writes(
+        &mut self,
+        fencing_token: u64,
+        max_writes: usize,
+    ) -> Vec<DelegationWrite> {
         let mut writes = Vec::new();
         for (zone, delegation) in &mut self.by_zone {
-            if !delegation.needs_write() || delegation.write_in_flight || writes.len() >= most {
+            if !delegation.needs_write() || delegation.write_in_flight || writes.len() >= max_writes
+            {
                 continue;
             }
-            // A key is written twice at the most and never deleted in this term: a repeat of
-            // either write finds it changed.
+            // A key is written at most twice and never deleted in this term. If the store applies a repeated copy of
+            // either write, its condition fails because the key's revision has changed.
             let record = DelegationRecord {
                 fencing_token,
                 zone: zone.to_string(),
@@ -160,12 +174,13 @@
         writes
     }
 
-    /// Whether what is stored of any isn't what is wanted.
+    /// Returns whether the stored record of any delegation differs from its desired state.
     pub(super) fn has_pending_write(&self) -> bool {
         self.by_zone.values().any(Delegation::needs_write)
     }
 
-    /// The write of a zone's delegation was applied at a revision or, if none, was not applied.
+    /// Records the outcome of a write of a zone's delegation: the revision at which it was applied, or None if it was
+    /// not applied.
     pub(super) fn on_write_outcome(&mut self, zone: &str, revision: Option<u64>, now: Time) {
         let Some(delegation) = self.by_zone.get_mut(zone) else {
             return;
@@ -182,7 +197,8 @@
         };
     }
 
-    /// Breaks the guard that nothing is freed for silence where a delegate may answer.
+    /// Marks all delegations as revoked long ago. This disables the rule that no attempt is released because of silence
+    /// where a delegate may answer, so that tests can show what the rule prevents.
     #[cfg(test)]
     pub(super) fn forget(&mut self) {
         for delegation in self.by_zone.values_mut() {
--- a/src/fleet/direct_calls.rs
+++ b/src/fleet/direct_calls.rs
@@ -1,5 +1,5 @@
-//! Direct calls to workers: commands that don't wait for the next heartbeat. They fence off a former leader, stop
-//! tasks without delay, and start tasks that are urgent.
+//! Direct calls to workers: calls from the leader that carry commands without waiting for the next heartbeat. They
+//! fence off a former leader, stop tasks without delay and launch urgent tasks.
 
 use std::net::SocketAddr;
 
@@ -11,13 +11,13 @@
 /// The outcome of a direct call.
 #[derive(Debug, Clone)]
 pub enum DirectCommandOutcome {
-    /// Executed; the worker's heartbeat after that.
+    /// The worker executed the commands. Holds its heartbeat from after that.
     Done(Heartbeat),
-    /// Not executed, as the fencing token or the agent epoch didn't match.
+    /// The worker rejected the call because the fencing token or the agent epoch didn't match. Holds its heartbeat.
     Refused(Heartbeat),
-    /// There was no connection: it will never be executed.
+    /// No connection could be made: the commands will never be executed.
     NotSent,
-    /// No answer: it may have been executed, or may be at any later time.
+    /// The call got no answer: the commands may have been executed, or may be at any later time.
     Unknown,
 }
 
@@ -28,45 +28,48 @@
     pub machine: MachineIndex,
     /// The worker's address.
     pub addr: SocketAddr,
-    /// The agent epoch in which the worker may execute the commands.
+    /// The agent epoch that the call is addressed to. A worker in another epoch rejects it.
     pub agent_epoch: u64,
-    /// The commands, perhaps none: the call then only shows the fencing token and returns a heartbeat.
+    /// The commands. A call without commands only presents the fencing token and returns a heartbeat.
     pub commands: Vec<Command>,
 }
 
 /// A machine that a direct call can be sent to.
 pub(crate) struct DirectCallTarget {
-    /// The machine.
+    /// The index of the machine.
     pub(crate) machine: MachineIndex,
-    /// Its worker's address.
+    /// The worker's address.
     pub(crate) addr: SocketAddr,
-    /// The agent epoch for which the call is meant.
+    /// The agent epoch that the call is addressed to.
     pub(crate) agent_epoch: u64,
 }
 
 impl Machine {
-    /// Whether a direct call that is wanted may be sent now. Unless it is to launch something, it is sent at most
-    /// once in `gap_s` seconds.
-    fn is_direct_call_due(&self, gap_s: f64, now: Time) -> bool {
+    /// Returns whether a requested direct call may be sent now. Calls that carry no launch are sent at most once in
+    /// `min_interval_s` seconds.
+    fn is_direct_call_due(&self, min_interval_s: f64, now: Time) -> bool {
         !self.direct_call_in_flight
             && (self.direct_launch_requested
-                || self.last_direct_call_at.is_none_or(|at| now - at > gap_s))
+                || self
+                    .last_direct_call_at
+                    .is_none_or(|at| now - at > min_interval_s))
     }
 
-    /// Whether launches may be sent with a message of this origin; a request for a direct call is met with it.
+    /// Returns whether launches may be sent in the answer to a periodic heartbeat or in a direct call, by `origin`.
+    /// That message also meets the requests for a direct call, so they are cleared.
     pub(crate) fn take_launch_permission(
         &mut self,
         origin: HeartbeatOrigin,
         fencing_token: u64,
     ) -> bool {
         self.direct_call_requested = false;
-        let settled = self.fencing_token >= fencing_token && !self.terminating;
-        let requested = std::mem::take(&mut self.direct_launch_requested);
-        settled && (origin == HeartbeatOrigin::Periodic || requested)
+        let accepts_launches = self.fencing_token >= fencing_token && !self.terminating;
+        let direct_launch_requested = std::mem::take(&mut self.direct_launch_requested);
+        accepts_launches && (origin == HeartbeatOrigin::Periodic || direct_launch_requested)
     }
 
-    /// A direct call has ended. Returns the attempts that it was to launch and that can't start now, as it was never
-    /// sent.
+    /// Records the outcome of a direct call. Returns the attempts that the call was to launch if it was never sent: no
+    /// launch of them is under way, so they can be placed elsewhere.
     pub(crate) fn on_direct_call_ended(
         &mut self,
         outcome: &DirectCommandOutcome,
@@ -74,7 +77,7 @@
         self.direct_call_in_flight = false;
         let mut unsent = Vec::new();
         for (key, task_attempt) in &mut self.attempts {
-            if task_attempt.direct_launch != Some(DirectLaunchState::UnderWay) {
+            if task_attempt.direct_launch != Some(DirectLaunchState::InFlight) {
                 continue;
             }
             task_attempt.direct_launch = match outcome {
@@ -94,7 +97,7 @@
 }
 
 impl Fleet {
-    /// Wants a direct call to the worker of a machine.
+    /// Requests a direct call to the worker of a machine.
     pub(crate) fn request_direct_call(&mut self, index: MachineIndex) {
         if let Some(machine) = self.machines.get_mut(&index) {
             machine.direct_call_requested = true;
@@ -102,7 +105,8 @@
         }
     }
 
-    /// Wants a direct call with launches, if the machine's next heartbeat is further away than `wait_limit_s`.
+    /// Requests a direct call that carries launches, if the machine's next heartbeat is due in more than `wait_limit_s`
+    /// seconds.
     pub(crate) fn request_direct_launch(
         &mut self,
         index: MachineIndex,
@@ -120,8 +124,8 @@
         }
     }
 
-    /// A worker that some controller saw recently is to be called: that fences off a former
-    /// leader there, and its heartbeat is returned at once.
+    /// Requests a direct call to a worker that contacted some controller recently, unless the worker has already made
+    /// contact in this term. The call fences off a former leader and returns the worker's heartbeat without delay.
     pub fn request_contact(
         &mut self,
         name: &str,
@@ -140,11 +144,12 @@
         }
     }
 
-    /// At most `most` machines to which direct calls are wanted and may be sent now. Drops requests that were met.
+    /// Returns at most `max_calls` machines with a requested direct call that may be sent now. Drops requests that were
+    /// met. Calls that carry no launch are sent to a machine at most once in `min_interval_s` seconds.
     pub(crate) fn due_direct_calls(
         &mut self,
-        gap_s: f64,
-        most: usize,
+        min_interval_s: f64,
+        max_calls: usize,
         now: Time,
     ) -> Vec<DirectCallTarget> {
         let machines = &self.machines;
@@ -157,7 +162,7 @@
         self.direct_call_queue
             .iter()
             .filter_map(|index| Some((*index, machines.get(index)?)))
-            .filter(|(_, machine)| machine.is_direct_call_due(gap_s, now))
+            .filter(|(_, machine)| machine.is_direct_call_due(min_interval_s, now))
             .filter_map(|(index, machine)| {
                 Some(DirectCallTarget {
                     machine: index,
@@ -165,16 +170,16 @@
                     agent_epoch: machine.agent_epoch,
                 })
             })
-            .take(most)
+            .take(max_calls)
             .collect()
     }
 
-    /// A direct call is sent.
+    /// Records that a direct call is being sent to a machine.
     pub(crate) fn on_direct_call_sent(&mut self, index: MachineIndex, now: Time) {
         if let Some(machine) = self.machines.get_mut(&index) {
             machine.last_direct_call_at = Some(now);
             machine.direct_call_in_flight = true;
-            // Until the worker has made contact, or has nothing left to stop, it is called again.
+            // The call is repeated until the worker has made contact and no attempt is left to stop.
             let mut attempts = machine.attempts.values();
             machine.direct_call_requested = machine.last_contact_at.is_none()
                 || attempts.any(|attempt| attempt.stop_grace_s.is_some());
--- a/src/fleet/liveness.rs
+++ b/src/fleet/liveness.rs
@@ -1,64 +1,67 @@
-//! Which machines are alive: silence, overdue heartbeats, workers that don't acknowledge, machines that count as lost,
-//! and attempts whose worker's lease has surely expired.
+//! Liveness of machines: silence, overdue heartbeats, unresponsive workers, lost machines, and attempts whose
+//! worker's lease has expired for certain.
 
 use super::machine_catalog::MachineCatalog;
 use super::{AttemptKey, Fleet, Machine};
 use crate::jobs::MachineIndex;
 use crate::runtime::{ProcessPause, Time};
 
-/// Heartbeat intervals after which a heartbeat is overdue; a silent machine gets no new work from then on.
+/// Number of heartbeat intervals after which a heartbeat is overdue. The machine then gets no new work.
 const OVERDUE_INTERVALS: f64 = 2.0;
-/// If at least so many machines, and most of all, don't acknowledge, the fault is with the leader and not with them.
+/// If at least this many workers, and more than half of all, don't acknowledge the leader's answers, the fault is taken
+/// to be the leader's and not theirs.
 const UNACKNOWLEDGING_MACHINES_MIN: usize = 3;
-/// Most machines' silence at once is taken for this controller's own fault for at most so many times the silence
-/// after which a worker has surely ended its tasks.
-const DISTRUSTED_SILENCE_LIMIT: f64 = 2.0;
-/// Some worker makes contact with a leader at least once in so many heartbeat intervals; if none does, the leader may be
-/// partitioned.
-const CONTACT_GAP_INTERVALS: f64 = 0.6;
+/// If most machines are silent at once, this controller is taken to be partitioned for at most this many worker lease
+/// expiries. After that, silent machines count as lost all the same.
+const UNTRUSTED_SILENCE_LEASE_EXPIRIES: f64 = 2.0;
+/// If no worker at all makes contact for this number of heartbeat intervals, the leader may be partitioned: with two or
+/// more live machines some worker makes contact more often.
+const CONTACT_GAP_MAX_INTERVALS: f64 = 0.6;
 
-/// How far the silence of machines may be taken for their own.
+/// What the contacts of all machines say about the cause of some machines' silence: those machines, or this controller.
 pub(crate) struct SilenceEvidence {
     /// Silence after which a machine counts as lost, in seconds.
-    limit_s: f64,
-    /// How many machines made contact within that time.
+    silence_limit_s: f64,
+    /// Number of machines that made contact within that time.
     live_machines: usize,
-    /// Enough machines make contact: the silence of the others is not this controller's own.
+    /// Whether enough machines make contact to rule out that this controller is partitioned. Only then does the silence
+    /// of a machine show a fault of that machine.
     pub(crate) trusted: bool,
-    /// Hardly any worker acknowledges what this leader answers.
-    unacknowledged: bool,
+    /// Whether most workers don't acknowledge this leader's answers.
+    mostly_unacknowledged: bool,
 }
 
 impl Fleet {
-    /// A worker made contact at this moment.
+    /// Records that some worker made contact at `now`.
     pub(crate) fn record_worker_contact(&mut self, now: Time) {
         self.last_worker_contact = now;
     }
 
-    /// When any worker last made contact.
+    /// Returns when any worker last made contact, or when the term began if none has.
     pub(crate) fn last_worker_contact(&self) -> Time {
         self.last_worker_contact
     }
 
-    /// This process was paused: what it did not receive meanwhile is no silence of the machines.
+    /// Records a pause of this process. Messages that it didn't receive meanwhile are not counted as silence of
+    /// machines.
     pub(crate) fn record_pause(&mut self, pause: ProcessPause) {
         self.pause = pause;
     }
 
-    /// The silence, in seconds, of a machine or zone that last made contact at `last_contact`, less this process's own
-    /// pause.
+    /// Returns the silence, in seconds, of a machine or zone that last made contact at `last_contact`, without the part
+    /// during which this process was paused.
     pub(crate) fn silence_s(&self, last_contact: Time, now: Time) -> f64 {
-        let own = if last_contact < self.pause.until {
+        let own_pause_s = if last_contact < self.pause.until {
             self.pause.length_s.min(self.pause.until - last_contact)
         } else {
             0.0
         };
-        now - last_contact - own
+        now - last_contact - own_pause_s
     }
 
-    /// Whether a machine's heartbeat is overdue. An answer to a direct
-    /// call counts only as long as its first heartbeat may still come: after a change of leader the
-    /// machines that were called can be used at once.
+    /// Returns whether a machine's periodic heartbeat is overdue. Until its first periodic heartbeat of the term, its
+    /// first contact counts instead, usually the answer to a direct call: a new leader can thus use the machines that
+    /// it has called without waiting for their heartbeats.
     pub(crate) fn is_heartbeat_overdue(&self, machine: &Machine, now: Time) -> bool {
         let limit_s = self.config.deployment.workers.heartbeat_interval_s * OVERDUE_INTERVALS;
         machine
@@ -66,18 +69,19 @@
             .is_none_or(|at| now - at >= limit_s)
     }
 
-    /// Whether hardly any worker acknowledges the answers of this leader.
+    /// Returns whether most workers don't acknowledge the answers of this leader, which then should step down.
     pub fn is_unacknowledged_by_workers(&self) -> bool {
-        let up = self.machines.values().filter(|machine| machine.is_up());
-        let (unresponsive, all) = up.fold((0, 0), |(unresponsive, all), machine| {
-            let counted = usize::from(machine.unresponsive_since.is_some());
-            (unresponsive + counted, all + 1)
+        let up_machines = self.machines.values().filter(|machine| machine.is_up());
+        let (unresponsive, total) = up_machines.fold((0, 0), |(unresponsive, total), machine| {
+            let is_unresponsive = usize::from(machine.unresponsive_since.is_some());
+            (unresponsive + is_unresponsive, total + 1)
         });
-        unresponsive >= UNACKNOWLEDGING_MACHINES_MIN && unresponsive * 2 > all
+        unresponsive >= UNACKNOWLEDGING_MACHINES_MIN && unresponsive * 2 > total
     }
 
-    /// For how many seconds a launch of something that has ended may be in doubt: then its machine is returned, and its
-    /// worker's lease expires within `cancel_s` in any case.
+    /// Returns for how many seconds after its placement an attempt that is to be stopped may have a launch in doubt.
+    /// After that the machine is returned and its worker's lease is not renewed. The limit leaves enough of `cancel_s`
+    /// for the worker's lease to expire within it, even if the leader changes meanwhile.
     pub(crate) fn in_doubt_limit_s(&self) -> f64 {
         let workers = &self.config.deployment.workers;
         let remaining_s =
@@ -85,8 +89,9 @@
         (workers.heartbeat_interval_s * self.config.tunables.silent_reports).min(remaining_s)
     }
 
-    /// Whether a machine's lease must not be renewed: a direct launch of something that has ended may still
-    /// be executed there, however late. The machine is being returned, but the cloud may not answer.
+    /// Returns whether the lease of a machine's worker must not be renewed: a direct launch of an attempt that must not
+    /// run any more may still be executed there, however late. The machine is being returned, but the cloud may not
+    /// answer.
     pub fn must_let_lease_expire(&self, machine: &str, now: Time) -> bool {
         let limit_s = self.in_doubt_limit_s();
         self.find(machine)
@@ -94,8 +99,9 @@
             .is_some_and(|machine| machine.has_launch_in_doubt(now, limit_s))
     }
 
-    /// Attempts that are surely not running: those on machines whose worker has been silent for longer than its lease,
-    /// and those never launched on a silent or unresponsive machine, which can go elsewhere sooner.
+    /// Returns the attempts that are certain not to run: all attempts on machines whose worker's lease has expired, and
+    /// attempts that were never launched on overdue or unresponsive machines. The latter can be placed elsewhere
+    /// without waiting for the lease to expire.
     pub(crate) fn expired_attempts(&self, now: Time) -> Vec<(MachineIndex, AttemptKey)> {
         let mut expired = Vec::new();
         for (index, machine) in self
@@ -103,7 +109,7 @@
             .iter()
             .filter(|(_, machine)| !machine.attempts.is_empty())
         {
-            if now - self.lease_may_run_from(machine, now) > self.worker_lease_expiry_s {
+            if now - self.latest_lease_start(machine, now) > self.worker_lease_expiry_s {
                 expired.extend(machine.attempts.keys().map(|key| (*index, *key)));
             } else if self.is_heartbeat_overdue(machine, now)
                 || machine.unresponsive_since.is_some()
@@ -115,47 +121,49 @@
         expired
     }
 
-    /// The latest moment from which the lease of a machine's worker may run.
-    fn lease_may_run_from(&self, machine: &Machine, now: Time) -> Time {
-        // Known by direct calls alone, its agent epoch may have begun just before the last.
-        let last = [machine.last_acknowledged_at, machine.last_contact_at]
+    /// Returns the latest time at which the present lease of a machine's worker may have started.
+    fn latest_lease_start(&self, machine: &Machine, now: Time) -> Time {
+        // A worker that answered only direct calls may have begun its agent epoch, and with it a lease, just before the
+        // last of them.
+        let latest_contact = [machine.last_acknowledged_at, machine.last_contact_at]
             .into_iter()
             .flatten()
             .fold(self.term_started_at, f64::max);
-        // Delegates may have answered in this leader's name.
-        let delegated = self.zones.answered_until(&machine.zone, now);
-        delegated.map_or(last, |at| last.max(at))
+        // Delegates may have renewed the lease in this leader's name.
+        let latest_delegated = self.zones.last_possible_answer(&machine.zone, now);
+        latest_delegated.map_or(latest_contact, |at| latest_contact.max(at))
     }
 
-    /// What the contacts with all machines say about the silence of some.
+    /// Evaluates the contacts of all machines outside of partitioned zones.
     pub(crate) fn silence_evidence(&self, now: Time) -> SilenceEvidence {
         let interval_s = self.config.deployment.workers.heartbeat_interval_s;
-        let limit_s = interval_s * self.config.tunables.silent_reports;
-        let up = || {
+        let silence_limit_s = interval_s * self.config.tunables.silent_reports;
+        let up_machines = || {
             let machines = self.machines.values();
             machines.filter(|machine| machine.is_up() && !self.is_partitioned(machine))
         };
-        let live_machines = up()
+        let live_machines = up_machines()
             .filter(|machine| {
                 machine
                     .last_heartbeat_or_first_contact()
-                    .is_some_and(|at| self.silence_s(at, now) < limit_s)
+                    .is_some_and(|at| self.silence_s(at, now) < silence_limit_s)
             })
             .count();
-        // When hardly any machine makes contact, it is rather this controller that is partitioned: then
-        // only the workers' leases count.
-        let trusted = live_machines * 2 >= up().count()
+        // If fewer than half of the machines make contact, this controller is more likely to be partitioned than all of
+        // them. Then only the expiry of the workers' leases counts.
+        let trusted = live_machines * 2 >= up_machines().count()
             && (live_machines < 2
-                || now - self.last_worker_contact() < interval_s * CONTACT_GAP_INTERVALS);
+                || now - self.last_worker_contact() < interval_s * CONTACT_GAP_MAX_INTERVALS);
         SilenceEvidence {
-            limit_s,
+            silence_limit_s,
             live_machines,
             trusted,
-            unacknowledged: self.is_unacknowledged_by_workers(),
+            mostly_unacknowledged: self.is_unacknowledged_by_workers(),
         }
     }
 
-    /// Whether a machine is to be returned as lost: it fails its tasks, is silent or unresponsive, or never came up.
+    /// Returns whether a machine is to be returned as lost: it is quarantined, has a launch in doubt for too long, is
+    /// silent or unresponsive, or never came up.
     pub(crate) fn is_lost(
         &self,
         machine: &Machine,
@@ -164,7 +172,7 @@
         now: Time,
     ) -> bool {
         let lease_s = self.config.deployment.workers.lease_s;
-        let is_silent_since = |since| self.silence_s(since, now) > evidence.limit_s;
+        let is_silent_since = |since| self.silence_s(since, now) > evidence.silence_limit_s;
         if machine.quarantined {
             let mut attempts = machine.attempts.values();
             return attempts.all(|a| a.completed || a.running_since.is_none())
@@ -174,23 +182,25 @@
             return true;
         }
         if let Some(since) = machine.unresponsive_since {
-            // What is on it ends with its worker's lease: nothing renews that.
-            return evidence.trusted && !evidence.unacknowledged && is_silent_since(since);
+            // Its worker's lease is not renewed any more, so the tasks on the machine end when it expires.
+            return evidence.trusted && !evidence.mostly_unacknowledged && is_silent_since(since);
         }
         if self.is_partitioned(machine) && machine.is_only_stopping() {
-            // What is left there of gangs that have failed holds all of them up.
+            // Tasks that remain there of failed gangs keep the whole gangs from being placed again, so the machine
+            // isn't kept until the partition ends.
             return evidence.trusted;
         }
         if machine.is_up() {
-            // It can't be this controller's fault for ever: once most of a fleet had died at once, and what was
-            // left was never trusted again, nor the others replaced.
-            let last = machine
+            // If most of a fleet dies at once, the few machines that are left never make the evidence trusted again,
+            // and without this limit the dead machines would never be replaced.
+            let last_contact = machine
                 .last_heartbeat_or_first_contact()
                 .unwrap_or(self.term_started_at);
-            let far_too_long = evidence.live_machines > 0
-                && self.silence_s(last, now)
-                    > self.worker_lease_expiry_s * DISTRUSTED_SILENCE_LIMIT;
-            return (evidence.trusted || far_too_long) && self.is_silent(machine, catalog, now);
+            let exceeds_untrusted_limit = evidence.live_machines > 0
+                && self.silence_s(last_contact, now)
+                    > self.worker_lease_expiry_s * UNTRUSTED_SILENCE_LEASE_EXPIRIES;
+            return (evidence.trusted || exceeds_untrusted_limit)
+                && self.is_silent(machine, catalog, now);
         }
         if let Some(running_since) = machine.running_since {
             return evidence.trusted && is_silent_since(running_since.max(self.term_started_at));
@@ -199,7 +209,7 @@
             let boot_s = machine.type_index.map_or(lease_s, |t| catalog[t].boot_s);
             return now - machine.rented_at > boot_s * self.config.tunables.lost_boots;
         }
-        // Known only from a former leader's records.
+        // The machine is known only from the records of a former leader.
         evidence.trusted && is_silent_since(self.term_started_at)
     }
 }
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -1,4 +1,4 @@
-//! A machine and its worker: what it is, its life, and the attempts on it.
+//! A machine and its worker: description, lifecycle state, heartbeat bookkeeping, and the attempts on it.
 
 mod heartbeats;
 
@@ -14,113 +14,117 @@
 use crate::runtime::Time;
 use crate::scheduler::image_cache::ImageCache;
 
-/// Which tasks a machine is for.
+/// Which tasks a machine is kept for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum MachineRole {
     /// Tasks that share machines.
     Shared,
-    /// Tasks that take most of a machine.
+    /// Large tasks: those that take more of a machine than the tunable `large_share`.
     Large,
 }
 
 /// How a heartbeat arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOrigin {
-    /// The worker sent it by itself and waits for the answer.
+    /// The worker sent the heartbeat on its schedule and waits for the answer.
     Periodic,
-    /// It is the answer to a direct call.
+    /// The heartbeat is the answer to a direct call.
     DirectReply,
 }
 
 /// A machine and its worker.
 ///
 /// `terminating`, `draining`, `quarantined`, `unresponsive_since` and `preemption_at` don't exclude one another: a
-/// draining machine may be quarantined, and either may be unresponsive or about to be preempted. A machine that is returned
-/// keeps what it was returned for.
+/// draining machine may be quarantined, and either may be unresponsive or about to be preempted. A machine that is
+/// being returned keeps the flags that led to its return.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// Its name, as the cloud gave it.
+    /// The name that the cloud gave the machine.
     pub name: Rc<str>,
-    /// The address of its worker, if known.
+    /// The address of the worker, if known.
     pub addr: Option<SocketAddr>,
-    /// The index of its type in the catalog, if known.
+    /// The index of the machine's type in the catalog, if known.
     pub type_index: Option<usize>,
-    /// Its zone.
+    /// The zone that the machine is in.
     pub zone: Rc<str>,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine, which the cloud may preempt.
     pub spot: bool,
-    /// All its resources.
+    /// The resources of the machine, used or not. Zero until its type is known.
     pub capacity: Resources,
-    /// The latest agent epoch of its worker.
+    /// The latest known agent epoch of the worker.
     pub agent_epoch: u64,
     /// The sequence number of the latest heartbeat in that epoch.
     pub sequence: u64,
-    /// The highest fencing token that its worker has shown.
+    /// The highest fencing token that the worker's heartbeats have shown.
     pub fencing_token: u64,
-    /// The latest agent epoch in which its worker is known to have seen this leader's fencing token: no former leader's
-    /// launch was executed after that.
+    /// The latest agent epoch in which the worker is known to have seen this leader's fencing token. From then on the
+    /// worker executes no launch of a former leader.
     fenced_epoch: Option<u64>,
-    /// When anything new from it last arrived in this term, by a heartbeat or a direct call.
+    /// When the last new heartbeat of this term arrived, periodic or in answer to a direct call.
     pub last_contact_at: Option<Time>,
-    /// When its last new periodic heartbeat arrived: only that renews its worker's lease.
+    /// When the last new periodic heartbeat of this term arrived. Only the answers to periodic heartbeats renew the
+    /// worker's lease.
     pub last_heartbeat_at: Option<Time>,
-    /// When it first made contact in this term.
+    /// When the worker first made contact in this term.
     first_contact_at: Option<Time>,
-    /// When the last heartbeat arrived that was answered 200 in this term.
+    /// When the last periodic heartbeat arrived that this leader answered with status 200, which renews the worker's
+    /// lease.
     pub last_acknowledged_at: Option<Time>,
-    /// Whether an earlier heartbeat than the latest was acknowledged in this term.
+    /// Whether a periodic heartbeat before the latest heartbeat was answered with status 200 in this term.
     was_acknowledged_before: bool,
-    /// When it was rented, as far as known.
+    /// When the machine was rented or, until the cloud has listed its age, when this leader first learned of it.
     pub rented_at: Time,
-    /// When the cloud's list first showed it running.
+    /// When the cloud's list first showed the machine as running.
     pub running_since: Option<Time>,
-    /// When the cloud's list last showed it.
+    /// When the cloud's list last contained the machine.
     pub listed_at: Option<Time>,
-    /// It is being returned to the cloud.
+    /// Whether the machine is being returned to the cloud.
     pub terminating: bool,
-    /// When the cloud preempts it, by its preemption notice.
+    /// When the cloud is going to preempt the machine. None without a preemption notice.
     pub preemption_at: Option<Time>,
-    /// The attempts that are or may be on it.
+    /// The attempts that are or may be on the machine.
     pub attempts: BTreeMap<AttemptKey, TaskAttempt>,
-    /// The resources that they take, but for those that completed.
+    /// The resources that attempts take which have not completed.
     pub used: Resources,
-    /// The price of its resources by its present load.
+    /// The price of the machine's resources at its present load, see `scheduler::pricing`.
     pub price: f64,
-    /// It gets no new work, so that it can be returned.
+    /// Whether the machine gets no new work so that it becomes empty and can be returned.
     pub draining: bool,
-    /// Tasks keep failing on it: it gets no new work and is returned.
+    /// Whether the machine gets no new work and is to be returned, because tasks keep failing on it.
     pub quarantined: bool,
-    /// Which tasks it is for.
+    /// Which tasks the machine is kept for.
     pub role: MachineRole,
-    /// Since when nothing needs it.
+    /// Since when the machine is surplus: no demand needs it.
     pub surplus_since: Option<Time>,
-    /// Failures of tasks in a row.
+    /// Number of task failures that count against the machine since a task last completed there.
     pub consecutive_failures: u32,
-    /// The jobs of those tasks.
+    /// The jobs of these failures.
     pub failed_jobs: HashSet<JobIndex>,
-    /// It gets no new work before this moment.
+    /// The machine gets no new work before this time.
     pub backoff_until: Time,
-    /// Images that it holds or fetches.
+    /// The images that the machine holds or fetches.
     pub image_cache: ImageCache,
-    /// A direct call to its worker is wanted.
+    /// Whether a direct call to the worker is requested.
     pub direct_call_requested: bool,
-    /// Launches are to be sent by a direct call rather than with the answer to its next heartbeat.
+    /// Whether launches are to be sent by a direct call instead of the answer to the next periodic heartbeat.
     pub direct_launch_requested: bool,
-    /// When a direct call was last sent to its worker.
+    /// When a direct call was last sent to the worker.
     pub(super) last_direct_call_at: Option<Time>,
-    /// A direct call to its worker has not ended yet.
+    /// Whether a direct call to the worker is in flight.
     pub direct_call_in_flight: bool,
-    /// Heartbeats in a row before which the worker made others that did not arrive here: it did not receive
-    /// the answers, or turned to other controllers.
+    /// Number of consecutive periodic heartbeats that arrived with a gap before them in the worker's sequence: in
+    /// between, the worker sent heartbeats that didn't arrive here. The worker either didn't receive this leader's
+    /// answers or contacted other controllers.
     pub unacknowledged_heartbeats: u32,
-    /// Since when it seems not to receive the answers.
+    /// Since when the worker is unresponsive, that is, seems not to receive this leader's answers.
     pub unresponsive_since: Option<Time>,
-    /// Attempts that exited in this agent epoch and must not be reaped, see [`TaskAttempt::may_be_relaunched`].
+    /// Attempts that exited in the present agent epoch and must not be reaped (forgotten by the worker): a direct
+    /// launch could start them again, see [`TaskAttempt::may_be_relaunched`].
     attempts_not_to_reap: HashSet<NamedAttempt>,
 }
 
 impl Machine {
-    /// A machine of which only the name and the zone are known.
+    /// Creates a machine of which only the name and the zone are known.
     pub(crate) fn new(name: Rc<str>, zone: Rc<str>, now: Time) -> Self {
         Machine {
             name,
@@ -164,18 +168,19 @@
         }
     }
 
-    /// When its last periodic heartbeat arrived or, before the first, when it first made contact.
+    /// Returns when the last periodic heartbeat arrived or, before the first one, when the worker first made contact.
+    /// None before any contact in this term.
     pub fn last_heartbeat_or_first_contact(&self) -> Option<Time> {
         self.last_heartbeat_at.or(self.first_contact_at)
     }
 
-    /// Whether its worker has made contact in this term.
+    /// Returns whether the worker has made contact in this term.
     pub fn is_up(&self) -> bool {
         self.last_contact_at.is_some()
     }
 
-    /// Whether a direct launch without an answer, placed more than `limit_s` seconds ago, may still start something that
-    /// must not run: only the machine's end proves that it won't.
+    /// Returns whether an unanswered direct launch may still start an attempt that must not run and was placed more
+    /// than `limit_s` seconds ago. Only the end of the machine or of the worker's agent epoch rules that out.
     pub fn has_launch_in_doubt(&self, now: Time, limit_s: f64) -> bool {
         self.attempts.values().any(|attempt| {
             attempt.direct_launch == Some(DirectLaunchState::Unanswered)
@@ -185,37 +190,41 @@
         })
     }
 
-    /// Whether something is or may be on it, and all of that is to be stopped.
+    /// Returns whether attempts that have not completed are or may be on the machine, and all of them are to be
+    /// stopped.
     pub fn is_only_stopping(&self) -> bool {
         let mut live = self.attempts.values().filter(|a| !a.completed).peekable();
         live.peek().is_some() && live.all(|a| a.stop_grace_s.is_some())
     }
 
-    /// Whether all that is on it runs, can save a checkpoint and is not being stopped: it can go on elsewhere.
+    /// Returns whether every attempt that has not completed is running, can save a checkpoint and is not being stopped.
+    /// All of them can then continue on other machines. Gangs are excluded.
     pub fn can_evict_gracefully(&self, jobs: &JobTable) -> bool {
         self.attempts
             .iter()
             .filter(|(_, attempt)| !attempt.completed)
             .all(|(key, attempt)| {
                 let job = &jobs[&key.job];
-                let saves = job.spec.checkpoint_s > 0.0 && !job.is_gang();
-                saves && attempt.stop_grace_s.is_none() && attempt.state == Some(TaskState::Running)
+                let can_move = job.spec.checkpoint_s > 0.0 && !job.is_gang();
+                can_move
+                    && attempt.stop_grace_s.is_none()
+                    && attempt.state == Some(TaskState::Running)
             })
     }
 
-    /// Whether nothing is or may be on it but attempts that completed.
+    /// Returns whether only completed attempts are on the machine, or none.
     pub fn is_empty(&self) -> bool {
         self.attempts.values().all(|attempt| attempt.completed)
     }
 
-    /// Whether a task that takes more than `share` of it is or may be on it.
+    /// Returns whether an attempt that takes more than `share` of any of the machine's resources is or may be on it.
     pub fn runs_large_task(&self, share: f64) -> bool {
         self.attempts
             .values()
             .any(|a| !a.completed && a.resources.largest_share(self.capacity) > share)
     }
 
-    /// Adds an attempt that is or may be on it.
+    /// Adds an attempt that is or may be on the machine.
     pub(crate) fn add_attempt(&mut self, key: AttemptKey, task_attempt: TaskAttempt) {
         if !task_attempt.completed {
             self.used = self.used.plus(task_attempt.resources);
@@ -223,7 +232,7 @@
         self.attempts.insert(key, task_attempt);
     }
 
-    /// Removes an attempt that is surely not on it any more.
+    /// Removes an attempt that is certain not to be on the machine any more.
     pub(crate) fn remove_attempt(&mut self, key: &AttemptKey) -> Option<TaskAttempt> {
         let task_attempt = self.attempts.remove(key)?;
         if !task_attempt.completed {
@@ -232,7 +241,8 @@
         Some(task_attempt)
     }
 
-    /// An attempt has completed: it waits to be reaped and takes no resources.
+    /// Records that an attempt has completed: it takes no resources and waits to be reaped. Resets the count of
+    /// failures.
     pub(crate) fn complete_attempt(&mut self, key: &AttemptKey) {
         if let Some(task_attempt) = self.attempts.get_mut(key)
             && !task_attempt.completed
@@ -254,8 +264,8 @@
         };
     }
 
-    /// Compares the attempts that should be on it with those that a new heartbeat lists. Returns those that are
-    /// gone. `fenced`: the heartbeat shows this leader's fencing token.
+    /// Compares the attempts that should be on the machine with those that a new heartbeat lists (`reported`). Returns
+    /// the attempts that are gone. `fenced`: whether the heartbeat shows this leader's fencing token.
     pub(crate) fn gone_attempts(
         &mut self,
         reported: &HashSet<AttemptKey>,
@@ -273,17 +283,17 @@
             .collect()
     }
 
-    /// An exited attempt must not be reaped in this agent epoch.
+    /// Records that an exited attempt must not be reaped in the present agent epoch.
     pub(crate) fn forbid_reaping(&mut self, attempt: NamedAttempt) {
         self.attempts_not_to_reap.insert(attempt);
     }
 
-    /// Whether an exited attempt may be reaped in this agent epoch.
+    /// Returns whether an exited attempt may be reaped in the present agent epoch.
     pub(crate) fn may_reap(&self, attempt: &NamedAttempt) -> bool {
         !self.attempts_not_to_reap.contains(attempt)
     }
 
-    /// Tasks keep failing on it: it gets no new work and is returned.
+    /// Quarantines the machine because tasks keep failing on it: it gets no new work and is returned.
     pub(crate) fn quarantine(&mut self) {
         if !self.quarantined {
             tracing::info!(machine = %self.name, "machine quarantined");
--- a/src/fleet/machine/heartbeats.rs
+++ b/src/fleet/machine/heartbeats.rs
@@ -1,5 +1,5 @@
-//! What heartbeats say of a machine: its description, its worker's agent epoch, and whether the worker acknowledges this
-//! leader's answers.
+//! Updates of a machine from its worker's heartbeats: description, agent epoch, and whether the worker acknowledges
+//! this leader's answers.
 
 use super::{HeartbeatOrigin, Machine};
 use crate::fleet::AttemptKey;
@@ -7,16 +7,17 @@
 use crate::protocol::workers::Heartbeat;
 use crate::runtime::Time;
 
-/// After so many heartbeats in a row that show no acknowledgement a worker counts as unresponsive.
+/// A worker counts as unresponsive after this many consecutive periodic heartbeats that don't acknowledge an answer.
 const UNRESPONSIVE_AFTER_HEARTBEATS: u32 = 2;
 
 impl Machine {
-    /// Whether a heartbeat is the newest that is known of it.
+    /// Returns whether a heartbeat is the newest known of this machine.
     pub(crate) fn is_latest_heartbeat(&self, heartbeat: &Heartbeat) -> bool {
         (self.agent_epoch, self.sequence) == (heartbeat.agent_epoch, heartbeat.sequence)
     }
 
-    /// Updates what a heartbeat says of the machine itself. A type that isn't in the catalog changes nothing.
+    /// Updates the machine's address, zone, type and capacity from a heartbeat. An unknown type name leaves type and
+    /// capacity unchanged.
     pub(crate) fn update_description(&mut self, heartbeat: &Heartbeat, catalog: &MachineCatalog) {
         self.addr = heartbeat.addr.parse().ok().or(self.addr);
         if *self.zone != *heartbeat.zone {
@@ -29,7 +30,8 @@
         }
     }
 
-    /// A heartbeat, new or not, that is answered 200 if it is a periodic one.
+    /// Records that a heartbeat, new or not, is answered. Only the answer to a periodic one has status 200 and renews
+    /// the worker's lease.
     pub(crate) fn record_acknowledgement(&mut self, origin: HeartbeatOrigin, now: Time) {
         self.was_acknowledged_before = self.last_acknowledged_at.is_some();
         if origin == HeartbeatOrigin::Periodic {
@@ -37,12 +39,12 @@
         }
     }
 
-    /// Whether a heartbeat is newer than all that are known.
+    /// Returns whether a heartbeat is newer than all known ones.
     pub(crate) fn is_new_heartbeat(&self, heartbeat: &Heartbeat) -> bool {
         (heartbeat.agent_epoch, heartbeat.sequence) > (self.agent_epoch, self.sequence)
     }
 
-    /// Records a heartbeat that is newer than all before it.
+    /// Records a heartbeat that is newer than all known ones.
     pub(crate) fn record_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -50,7 +52,8 @@
         now: Time,
     ) {
         if heartbeat.agent_epoch > self.agent_epoch {
-            // Direct calls for an earlier agent epoch are refused from now on.
+            // The worker rejects direct calls for an earlier agent epoch from now on, so launches are no longer in
+            // doubt.
             self.attempts_not_to_reap.clear();
             for task_attempt in self.attempts.values_mut().filter(|a| a.in_doubt()) {
                 task_attempt.direct_launch = None;
@@ -70,8 +73,9 @@
         self.preemption_at = heartbeat.preemption_notice_s.map(|s| now + s);
     }
 
-    /// A worker that receives the answers sends one heartbeat after the other here. One whose answers are
-    /// lost tries other controllers in between, and in the end begins a new agent epoch with them.
+    /// Derives from the sequence number of a periodic heartbeat whether the worker receives this leader's answers. If
+    /// it does, it sends all heartbeats here and the sequence has no gaps. If the answers are lost, the worker tries
+    /// other controllers in between and finally begins a new agent epoch with them.
     fn track_acknowledgement(&mut self, heartbeat: &Heartbeat, now: Time) {
         let is_next =
             (heartbeat.agent_epoch, heartbeat.sequence) == (self.agent_epoch, self.sequence + 1);
@@ -87,22 +91,24 @@
         }
     }
 
-    /// Its worker has seen this leader's fencing token in an agent epoch.
+    /// Records that the worker has seen this leader's fencing token in an agent epoch.
     pub(crate) fn record_fenced_epoch(&mut self, agent_epoch: u64) {
         self.fenced_epoch = self.fenced_epoch.max(Some(agent_epoch));
     }
 
-    /// Its worker has seen this leader's fencing token in an agent epoch, as a delegate reports. Returns the attempts that are
-    /// gone for it: if the worker had seen the token in an earlier epoch already, all that was placed
-    /// there before is gone, and what was sent to it before is refused.
+    /// Records a delegate's report that the worker has seen this leader's fencing token in an agent epoch. Returns the
+    /// attempts that are gone because of it: if the worker had seen the token in an earlier epoch already, all attempts
+    /// placed there before are gone, and it rejects all direct calls sent to it before.
     ///
-    /// Else nothing follows: what a former leader placed may be in that very epoch. A new leader that knew machines
-    /// of a partition from the log alone once took their first epoch for a later one, and started all of their tasks
-    /// elsewhere.
+    /// Without such an earlier epoch no attempt is known to be gone: attempts that a former leader placed may run in
+    /// the reported epoch. A new leader knows the machines of a partitioned zone only from the assignment log. If it
+    /// took the first reported epoch for a later one, it would launch all of their tasks a second time elsewhere.
     pub(crate) fn on_relayed_epoch(&mut self, agent_epoch: u64) -> Vec<AttemptKey> {
-        let earlier = self.fenced_epoch;
+        let earlier_epoch = self.fenced_epoch;
         self.record_fenced_epoch(agent_epoch);
-        if earlier.is_none_or(|earlier| agent_epoch <= earlier) || agent_epoch <= self.agent_epoch {
+        if earlier_epoch.is_none_or(|earlier| agent_epoch <= earlier)
+            || agent_epoch <= self.agent_epoch
+        {
             return Vec::new();
         }
         self.agent_epoch = agent_epoch;
--- a/src/fleet/machine_catalog.rs
+++ b/src/fleet/machine_catalog.rs
@@ -9,7 +9,7 @@
 use crate::resources::Resources;
 use crate::scheduler::image_cache::CacheCapacity;
 
-/// A machine type on demand, or as a spot machine.
+/// A machine type, rented either on demand or as a spot machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineOption {
     /// The type's index in the catalog.
@@ -18,34 +18,34 @@
     pub spot: bool,
 }
 
-/// The machine types that the cloud offers, by their index in its list.
+/// The machine types that the cloud offers. A type's index is its position in the cloud's list.
 #[derive(Debug, Clone)]
 pub struct MachineCatalog {
     types: Rc<Vec<MachineType>>,
 }
 
 impl MachineCatalog {
-    /// The types as the cloud lists them.
+    /// Creates a catalog of the types in the order in which the cloud lists them.
     pub fn new(types: Rc<Vec<MachineType>>) -> Self {
         MachineCatalog { types }
     }
 
-    /// How many types there are.
+    /// Returns the number of types.
     pub fn len(&self) -> usize {
         self.types.len()
     }
 
-    /// The index of the type with this name.
+    /// Returns the index of the type with this name.
     pub fn index_of(&self, name: &str) -> Option<usize> {
         self.types.iter().position(|t| t.name == name)
     }
 
-    /// The resources of a machine of a type.
+    /// Returns the resources of a machine of a type.
     pub fn capacity(&self, type_index: usize) -> Resources {
         capacity_of_type(&self.types[type_index])
     }
 
-    /// The capacity for images of a machine of a type: size and fetch rate.
+    /// Returns the size and the fetch rate of the image cache of a machine of a type.
     pub(crate) fn image_cache_capacity(&self, type_index: usize) -> CacheCapacity {
         let machine_type = &self.types[type_index];
         CacheCapacity {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The price of a CPU on a machine of a type.
+    /// Returns the price of one CPU on a machine of a type, on demand or spot.
     pub fn unit_price(&self, type_index: usize, spot: bool) -> f64 {
         let machine_type = &self.types[type_index];
         let price = if spot {
@@ -65,8 +65,8 @@
         price / machine_type.cpus.max(1.0)
     }
 
-    /// The ways in which a job may use the types on offer: each type on demand, then, if the job
-    /// tolerates it, as a spot machine.
+    /// Returns the options on which a job's tasks may run: each allowed type on demand and, if the job tolerates spot
+    /// machines, right after it the same type as a spot machine.
     pub fn options(&self, spec: &Submission) -> Vec<MachineOption> {
         let mut options = Vec::new();
         for (type_index, machine_type) in self.types.iter().enumerate() {
@@ -86,12 +86,12 @@
         options
     }
 
-    /// The longest boot time of any type, in seconds.
+    /// Returns the longest boot time of any type, in seconds.
     pub fn longest_boot_s(&self) -> f64 {
         self.types.iter().map(|t| t.boot_s).fold(0.0, f64::max)
     }
 
-    /// Whether a list holds the same types in the same order, perhaps with other prices.
+    /// Returns whether a list holds types with the same names in the same order. Prices may differ.
     pub fn has_same_types(&self, types: &[MachineType]) -> bool {
         types.len() == self.types.len()
             && types
@@ -109,7 +109,7 @@
     }
 }
 
-/// The resources of a machine of a type.
+/// Returns the resources of a machine of a type.
 pub fn capacity_of_type(machine_type: &MachineType) -> Resources {
     Resources {
         cpus: machine_type.cpus,
@@ -118,7 +118,8 @@
     }
 }
 
-/// Whether a job may ever use a type, on demand or as a spot machine.
+/// Returns whether a job's tasks may run on a type, on demand or as a spot machine: the job allows the type, the type
+/// is offered in the job's zone, and a task fits.
 pub fn is_type_allowed(spec: &Submission, machine_type: &MachineType) -> bool {
     spec.types
         .as_ref()
--- a/src/fleet/task_attempt.rs
+++ b/src/fleet/task_attempt.rs
@@ -1,4 +1,5 @@
-//! An attempt of a task on a machine: what was sent for it, what was reported of it, and whether it may still start.
+//! An attempt of a task on a machine: which commands were sent for it, its last reported state, and whether a launch
+//! may still start it.
 
 use crate::jobs::JobIndex;
 use crate::protocol::workers::{ExitReason, TaskState};
@@ -24,10 +25,11 @@
     }
 }
 
-/// An attempt as the worker names it; its job may be unknown here.
+/// An attempt by the name of its task, as the worker reports it. Unlike [`AttemptKey`] it needs no job that this leader
+/// knows.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct NamedAttempt {
-    /// The name of the task.
+    /// The name of the task, see [`task_name`](crate::jobs::task_name::task_name).
     pub(crate) task: String,
     /// The number of the attempt.
     pub(crate) attempt: u64,
@@ -37,47 +39,49 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DirectLaunchState {
     /// The call has not been answered yet.
-    UnderWay,
-    /// The call got no answer: it may be executed at any time, until the worker's agent epoch ends.
+    InFlight,
+    /// The call got no answer: the worker may execute it at any time until its agent epoch ends.
     Unanswered,
     /// The worker has executed the call.
     Answered,
 }
 
-/// What an attempt that is absent from a new heartbeat of its machine is.
+/// Whether an attempt that is absent from a new heartbeat of its machine may still start there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AbsentAttempt {
-    /// It isn't on the machine and can't start there any more.
+    /// The attempt isn't on the machine and can't start there any more.
     Gone,
-    /// It isn't on the machine, but a launch may still start it there.
+    /// The attempt isn't on the machine, but a launch may still start it there.
     MayStart,
 }
 
-/// What is known of an attempt that is or may be on a machine.
+/// The leader's view of an attempt that is or may be on a machine.
 #[derive(Debug, Clone)]
 pub struct TaskAttempt {
-    /// The resources it takes.
+    /// The resources that the attempt takes.
     pub resources: Resources,
-    /// Assigned or first seen before this term: a former leader may have launched it.
+    /// Whether a former leader may have launched the attempt: it was assigned before this term, or was first listed by
+    /// a heartbeat.
     pub inherited: bool,
-    /// Its state as last reported, if any heartbeat listed it.
+    /// The last reported state. None if no heartbeat has listed the attempt.
     pub state: Option<TaskState>,
-    /// Its launch was sent and is not known to have been dropped.
+    /// Whether a launch was sent and is not known to have been dropped.
     pub launch_sent: bool,
-    /// The state of its launch, if that was sent by a direct call.
+    /// The state of the launch, if it was sent by a direct call.
     pub direct_launch: Option<DirectLaunchState>,
-    /// The grace period in seconds with which it is to be stopped, if it is.
+    /// The grace period, in seconds, of its stop commands. None unless the attempt is to be stopped.
     pub stop_grace_s: Option<f64>,
-    /// When it was assigned, or first seen.
+    /// When this leader assigned the attempt or, if it is inherited, first learned of it.
     pub placed_at: Time,
-    /// When it was first reported as running, that is with its image fetched.
+    /// When it was first reported as running, which implies that its image is fetched.
     pub running_since: Option<Time>,
-    /// It has completed and waits for that to be stored and reaped. It no longer takes resources.
+    /// Whether the attempt has completed. It then takes no resources, and stays here until its completion is stored and
+    /// the worker has forgotten it.
     pub completed: bool,
 }
 
 impl TaskAttempt {
-    /// An attempt that this leader assigned or, if `inherited`, one that it found.
+    /// Creates an attempt that this leader assigned or, if `inherited`, one that a former leader may have launched.
     pub(crate) fn new(resources: Resources, inherited: bool, now: Time) -> Self {
         TaskAttempt {
             resources,
@@ -92,55 +96,58 @@
         }
     }
 
-    /// Whether no leader can have launched it.
+    /// Returns whether no leader can have launched the attempt.
     pub fn is_unsent(&self) -> bool {
         !self.inherited && !self.launch_sent && self.state.is_none() && !self.in_doubt()
     }
 
-    /// Whether a direct launch of it may still be executed.
+    /// Returns whether the attempt has a launch in doubt: a direct launch without an answer, which may still be
+    /// executed.
     pub fn in_doubt(&self) -> bool {
         matches!(
             self.direct_launch,
-            Some(DirectLaunchState::UnderWay | DirectLaunchState::Unanswered)
+            Some(DirectLaunchState::InFlight | DirectLaunchState::Unanswered)
         )
     }
 
-    /// Whether a late or repeated direct launch could start the attempt again once it is reaped.
-    /// One that completed does no harm: it completes again.
+    /// Returns whether a late or repeated direct launch could start the attempt again once it is reaped (the worker has
+    /// forgotten it). If the attempt's launch is answered and it completed, starting it again is harmless, as it
+    /// completes again.
     pub(crate) fn may_be_relaunched(&self, exit_reason: ExitReason) -> bool {
         self.in_doubt() || (self.direct_launch.is_some() && exit_reason != ExitReason::Done)
     }
 
-    /// Whether a message of this origin may carry its launch, as far as what was sent and reported before goes.
+    /// Returns whether a launch is still to be sent, by the commands and reports so far, and may go with a message of
+    /// this origin.
     pub(crate) fn awaits_launch(&self, origin: HeartbeatOrigin) -> bool {
         let was_launched = self.state.is_some() || self.inherited || self.launch_sent;
         !was_launched && (origin == HeartbeatOrigin::Periodic || !self.in_doubt())
     }
 
-    /// Its launch is sent with a message of this origin.
+    /// Records that a launch is sent with a message of this origin.
     pub(crate) fn record_launch(&mut self, origin: HeartbeatOrigin) {
         self.launch_sent = true;
         if origin == HeartbeatOrigin::DirectReply {
-            self.direct_launch = Some(DirectLaunchState::UnderWay);
+            self.direct_launch = Some(DirectLaunchState::InFlight);
         }
     }
 
-    /// Whether a command to stop it with this grace period is to be sent (again). A task that saves a checkpoint is
-    /// left to it, unless it is to end at once. A stop may overtake its launch; it is then repeated until a
-    /// heartbeat shows that the task is gone.
+    /// Returns whether a stop command with this grace period is to be sent, perhaps again. A task that is saving a
+    /// checkpoint gets none, unless the grace period is zero. The command is repeated until a heartbeat shows that the
+    /// task is gone, because a stop command may overtake the launch.
     pub(crate) fn needs_stop_command(&self, grace_s: f64) -> bool {
-        let saving = self.state == Some(TaskState::Saving);
-        !(saving && grace_s > 0.0)
+        let is_saving = self.state == Some(TaskState::Saving);
+        !(is_saving && grace_s > 0.0)
     }
 
-    /// A new heartbeat of its machine doesn't list it. `fenced`: the heartbeat shows this leader's fencing token.
+    /// Handles a new heartbeat of the machine that doesn't list the attempt. `fenced`: whether the heartbeat shows this
+    /// leader's fencing token.
     pub(super) fn on_absent(&mut self, origin: HeartbeatOrigin, fenced: bool) -> AbsentAttempt {
         if self.completed {
             return AbsentAttempt::Gone;
         }
         if self.inherited {
-            // A former leader's launch may still be under way until the worker has seen
-            // our token.
+            // A launch by a former leader may still arrive until the worker has seen this leader's fencing token.
             return if fenced {
                 AbsentAttempt::Gone
             } else {
@@ -151,7 +158,8 @@
             return AbsentAttempt::Gone;
         }
         if self.in_doubt() {
-            // The launch may come later: the attempt stays bound here. The next answer may carry the launch too.
+            // The direct launch may still be executed, so the attempt stays bound to this machine. The answer to this
+            // heartbeat may carry the launch too.
             if self.direct_launch == Some(DirectLaunchState::Unanswered)
                 && origin == HeartbeatOrigin::Periodic
             {
@@ -160,8 +168,8 @@
             return AbsentAttempt::MayStart;
         }
         if self.launch_sent {
-            // Only the worker's next periodic heartbeat proves that the answer with the launch was
-            // dropped: it is made after that answer was executed or given up.
+            // Only a periodic heartbeat proves that the answer with the launch was dropped: the worker composes its
+            // next periodic heartbeat after it has executed that answer or given up waiting for it.
             if origin != HeartbeatOrigin::Periodic {
                 return AbsentAttempt::MayStart;
             }
