--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,4 +1,5 @@
-//! The jobs that a leader knows: the state of each of their tasks, what of it is stored, and what teams use.
+//! The leader's view of the jobs: the state of each task, which assignment records hold that state, dependencies
+//! between jobs, and the resources that teams use.
 
 pub mod assignment_log;
 pub mod class_key;
@@ -18,10 +19,10 @@
 pub type JobIndex = u32;
 /// A machine's index in the fleet.
 pub type MachineIndex = u32;
-/// The number of a record of the assignment log.
+/// The number of an assignment record in the assignment log.
 pub type RecordNumber = u64;
 
-/// The resources that each task of a job takes.
+/// Returns the resources that each task of a job takes.
 pub fn task_resources(spec: &Submission) -> Resources {
     Resources {
         cpus: spec.cpus,
@@ -30,7 +31,7 @@
     }
 }
 
-/// A priority as a number, from 0 (low) to 3 (production).
+/// Returns a priority as a number from 0 (low) to 3 (production).
 pub fn priority_rank(priority: Priority) -> usize {
     match priority {
         Priority::Low => 0,
--- a/src/jobs/assignment_log.rs
+++ b/src/jobs/assignment_log.rs
@@ -1,10 +1,10 @@
-//! The assignment log: where tasks are, as the leader writes it.
+//! The assignment log: the records by which the leader stores which tasks are assigned, released or done.
 //!
-//! An assignment record holds what became of tasks of many jobs since the record before, so that the writes per
-//! second follow the time between two records and not the number of jobs. What an old record alone still holds is
-//! rewritten into a new one, always the oldest first, so that what it says of released tasks can be dropped. Each record
-//! names the oldest that is valid; what is older is deleted afterwards, and stays invalid if a copy of its transaction
-//! brings it back.
+//! An assignment record holds the state changes of tasks of many jobs since the previous record. The rate of writes
+//! therefore depends on the time between records and not on the number of jobs. States that only an old record still
+//! holds are rewritten into a new record, oldest record first, so that its entries of released tasks can be dropped.
+//! Each record names the oldest valid record. Older records are deleted afterwards, and stay invalid if a repeated copy
+//! of their transaction stores them again.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -16,61 +16,62 @@
 /// The state of a task as an assignment record holds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoggedState {
-    /// On no machine.
+    /// The task is on no machine.
     Released,
-    /// It may be on a machine.
+    /// The task may be on a machine.
     Assigned {
         /// The number of the attempt.
         attempt: u64,
     },
-    /// Completed.
+    /// The task has completed.
     Done,
 }
 
 /// A task as an assignment record holds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoggedTask {
-    /// The job.
+    /// The index of the job.
     pub job: JobIndex,
-    /// The number of the task.
+    /// The number of the task in its job.
     pub task: u32,
-    /// What is recorded of it.
+    /// The recorded state.
     pub state: LoggedState,
 }
 
-/// Records kept before old ones are rewritten and deleted: the older they are, the less of them is still needed.
+/// Minimum number of valid records that are kept. Only older ones are rewritten and deleted, because the older a record
+/// is, the fewer of its entries are still needed.
 const RECORDS_KEPT_MIN: usize = 128;
-/// A record's number is the fencing token and so many bits of a counter.
-const NUMBER_BITS: u32 = 16;
-/// Bytes of commas, brackets and quotes around a job, a range of tasks, a name, and the record as a whole.
+/// Number of bits of the counter in a record's number. The fencing token takes the bits above.
+const COUNTER_BITS: u32 = 16;
+/// Upper bounds of the JSON punctuation, in bytes: of a job, a range of tasks, a name, and the record as a whole.
 const JOB_PUNCTUATION: usize = 32;
 const RANGE_PUNCTUATION: usize = 5;
 const NAME_PUNCTUATION: usize = 6;
 const RECORD_PUNCTUATION: usize = 64;
 
-/// An assignment record that is being filled.
+/// Fills an assignment record up to a size limit.
 #[derive(Debug)]
 pub struct AssignmentRecordBuilder {
     /// The record so far.
     pub record: AssignmentRecord,
-    /// The tasks that it holds.
+    /// The tasks that the record holds, in the order in which they were added.
     pub recorded: Vec<LoggedTask>,
-    /// The most that it takes when it is written.
+    /// Upper bound of the size of the record when it is written, in bytes.
     bytes: usize,
     bytes_max: usize,
-    /// The positions of machines in the record.
+    /// The positions of machines in the record's list of machines.
     machines: HashMap<MachineIndex, u32>,
-    /// The positions of jobs in the record, by job and attempt.
+    /// The positions of entries in the record's list of jobs, by job and attempt.
     jobs: HashMap<(JobIndex, u64), usize>,
 }
 
-/// How many decimal digits a number has.
-fn digits(n: u64) -> usize {
-    n.checked_ilog10().unwrap_or(0) as usize + 1
+/// Returns the number of decimal digits of a number.
+fn decimal_digits(number: u64) -> usize {
+    number.checked_ilog10().unwrap_or(0) as usize + 1
 }
 
 impl AssignmentRecordBuilder {
-    /// An empty record of at most `bytes_max` bytes.
+    /// Creates a builder for a record of at most `bytes_max` bytes.
     pub fn new(bytes_max: usize) -> Self {
         AssignmentRecordBuilder {
             record: AssignmentRecord::default(),
@@ -82,17 +83,18 @@
         }
     }
 
-    /// Whether it holds no task yet.
+    /// Returns whether the record holds no task yet.
     pub fn is_empty(&self) -> bool {
         self.recorded.is_empty()
     }
 
-    /// The most bytes that it takes so far.
+    /// Returns an upper bound of the size of the record so far, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Adds the present state of a task; false if there is no room for it. `location` gives a machine's name and zone.
+    /// Adds the present state of a task. Returns false if the record has no space left for it. `location` returns a
+    /// machine's name and zone; the task is left out if it returns None.
     pub fn add<'a>(
         &mut self,
         index: JobIndex,
@@ -111,9 +113,9 @@
             LoggedState::Assigned { attempt } => attempt,
             LoggedState::Released | LoggedState::Done => 0,
         };
-        let mut cost = 3 * digits(u64::from(task) + 1) + RANGE_PUNCTUATION;
+        let mut added_bytes = 3 * decimal_digits(u64::from(task) + 1) + RANGE_PUNCTUATION;
         if !self.jobs.contains_key(&(index, attempt)) {
-            cost += job.id.len() + digits(attempt) + JOB_PUNCTUATION;
+            added_bytes += job.id.len() + decimal_digits(attempt) + JOB_PUNCTUATION;
         }
         let mut new_machine = None;
         if let Some(machine) = machine
@@ -122,13 +124,13 @@
             let Some((name, zone)) = location(machine) else {
                 return true;
             };
-            cost += self.machine_cost(name, zone);
+            added_bytes += self.machine_bytes(name, zone);
             new_machine = Some((machine, name, zone));
         }
-        if self.bytes + cost > self.bytes_max {
+        if self.bytes + added_bytes > self.bytes_max {
             return false;
         }
-        self.bytes += cost;
+        self.bytes += added_bytes;
         if let Some((machine, name, zone)) = new_machine {
             self.add_machine(machine, name, zone);
         }
@@ -143,33 +145,35 @@
         true
     }
 
-    /// The most bytes that a machine takes which is not in the record yet.
-    fn machine_cost(&self, name: &str, zone: &str) -> usize {
-        let mut cost = name.len() + NAME_PUNCTUATION + digits(self.machines.len() as u64);
+    /// Returns an upper bound of the bytes that a machine adds to the record. The machine must not be in the record
+    /// yet.
+    fn machine_bytes(&self, name: &str, zone: &str) -> usize {
+        let mut bytes = name.len() + NAME_PUNCTUATION + decimal_digits(self.machines.len() as u64);
         if !self.record.zones.iter().any(|z| z == zone) {
-            cost += zone.len() + NAME_PUNCTUATION;
+            bytes += zone.len() + NAME_PUNCTUATION;
         }
-        cost
+        bytes
     }
 
     fn add_machine(&mut self, machine: MachineIndex, name: &str, zone: &str) {
         let zones = &mut self.record.zones;
-        let at = zones.iter().position(|z| z == zone).unwrap_or_else(|| {
+        let zone_index = zones.iter().position(|z| z == zone).unwrap_or_else(|| {
             zones.push(zone.to_owned());
             zones.len() - 1
         });
         self.record.machines.push(MachineEntry {
             name: name.to_owned(),
-            zone_index: at as u32,
+            zone_index: zone_index as u32,
         });
-        let at = self.record.machines.len() as u32 - 1;
-        self.machines.insert(machine, at);
+        let machine_index = self.record.machines.len() as u32 - 1;
+        self.machines.insert(machine, machine_index);
     }
 
-    /// The part of the record for a job's attempt.
+    /// Returns the record's entry for an attempt number of a job, which is added if it is missing. Tasks without an
+    /// attempt (released or done) are under attempt 0.
     fn job_assignments(&mut self, index: JobIndex, job: &Job, attempt: u64) -> &mut JobAssignments {
         let jobs = &mut self.record.jobs;
-        let at = *self.jobs.entry((index, attempt)).or_insert_with(|| {
+        let position = *self.jobs.entry((index, attempt)).or_insert_with(|| {
             jobs.push(JobAssignments {
                 id: job.id.to_string(),
                 attempt,
@@ -177,13 +181,13 @@
             });
             jobs.len() - 1
         });
-        &mut jobs[at]
+        &mut jobs[position]
     }
 }
 
 impl JobAssignments {
-    /// Adds a task to the last range, or as a new one. `machine_index` is the position of its machine in the record, if it
-    /// is on one.
+    /// Adds a task to the last range of its state if it continues that range, else as a new range. `machine_index` is
+    /// the position of its machine in the record, if the task is assigned.
     fn push(&mut self, task: u32, state: LoggedState, machine_index: Option<u32>) {
         if let Some(machine_index) = machine_index {
             match self.assigned.last_mut() {
@@ -210,19 +214,24 @@
     }
 }
 
-/// The stored records, and which tasks each holds.
+/// The assignment records in the store, and which tasks each of them holds.
 #[derive(Debug)]
 pub struct AssignmentLog {
+    /// The tasks that each stored record holds, as job and number of the task.
     records: BTreeMap<RecordNumber, Vec<(JobIndex, u32)>>,
     next_number: RecordNumber,
-    /// How many valid records are kept before the oldest are rewritten.
+    /// Number of valid records that are kept before the oldest ones are rewritten. Adapts to the share of entries that
+    /// are still needed, see [`on_rewritten`](Self::on_rewritten).
     records_kept: usize,
     oldest_valid: RecordNumber,
 }
 
 impl AssignmentLog {
-    /// The log as a new leader finds it. Its numbers are above all that were used before: they contain its fencing token,
-    /// a revision of the store, which rises with every transaction, and a transaction holds few records.
+    /// Creates the log for a new leader from the numbers of the stored records.
+    ///
+    /// The numbers of its new records are higher than all numbers used in earlier terms. They contain the fencing
+    /// token, which is a revision of the store and so rises with every transaction, and a transaction writes too few
+    /// records to exhaust the counter.
     pub fn new(
         fencing_token: u64,
         stored: impl Iterator<Item = RecordNumber>,
@@ -230,59 +239,67 @@
     ) -> Self {
         AssignmentLog {
             records: stored.map(|number| (number, Vec::new())).collect(),
-            next_number: fencing_token << NUMBER_BITS,
+            next_number: fencing_token << COUNTER_BITS,
             records_kept: RECORDS_KEPT_MIN,
             oldest_valid,
         }
     }
 
-    /// Whether a record is valid.
+    /// Returns whether a record is valid. Invalid records are ignored and deleted.
     pub fn is_valid(&self, number: RecordNumber) -> bool {
         number >= self.oldest_valid
     }
 
-    /// The oldest valid record.
+    /// Returns the number of the oldest valid record.
     pub fn oldest_valid(&self) -> RecordNumber {
         self.oldest_valid
     }
 
-    /// It is stored that older records are invalid.
+    /// Records that a stored record declares all records before `oldest_valid` invalid.
     pub fn invalidate_before(&mut self, oldest_valid: RecordNumber) {
         self.oldest_valid = self.oldest_valid.max(oldest_valid);
     }
 
-    /// Invalid records, which can be deleted, `most` at the most.
-    pub fn invalid(&self, most: usize) -> Vec<RecordNumber> {
+    /// Returns at most `max_records` invalid records, which can be deleted.
+    pub fn invalid(&self, max_records: usize) -> Vec<RecordNumber> {
         let invalid = self.records.range(..self.oldest_valid);
-        invalid.map(|(number, _)| *number).take(most).collect()
+        invalid
+            .map(|(number, _)| *number)
+            .take(max_records)
+            .collect()
     }
 
-    /// A stored record holds a task.
+    /// Records that a stored record holds a task.
     pub fn add_task(&mut self, number: RecordNumber, index: JobIndex, task: u32) {
         self.records.entry(number).or_default().push((index, task));
     }
 
-    /// Takes the number of the next record.
+    /// Returns a new record number.
     pub fn take_number(&mut self) -> RecordNumber {
         self.next_number += 1;
         self.next_number - 1
     }
 
-    /// A record was deleted.
+    /// Removes a record that was deleted from the store.
     pub fn remove(&mut self, number: RecordNumber) {
         self.records.remove(&number);
     }
 
-    /// The oldest valid records beyond those that are kept, `most` at the most, with the tasks that they hold.
-    pub fn surplus(&self, most: usize) -> impl Iterator<Item = (RecordNumber, &[(JobIndex, u32)])> {
+    /// Returns at most `max_records` of the oldest valid records that exceed the number to keep, with the tasks that
+    /// each holds.
+    pub fn surplus(
+        &self,
+        max_records: usize,
+    ) -> impl Iterator<Item = (RecordNumber, &[(JobIndex, u32)])> {
         let valid = self.records.range(self.oldest_valid..);
         let surplus = valid.clone().count().saturating_sub(self.records_kept);
-        let oldest = valid.take(surplus.min(most));
+        let oldest = valid.take(surplus.min(max_records));
         oldest.map(|(number, tasks)| (*number, tasks.as_slice()))
     }
 
-    /// How many of the tasks of a rewritten record were still needed: where that is most of them, rewriting costs more than
-    /// it gives, and more records are kept.
+    /// Adapts the number of records to keep to how many tasks of a rewritten record were `still_needed`. If that is
+    /// more than half, rewriting costs more than it saves and more records are kept. Otherwise the number falls step by
+    /// step to its minimum.
     pub fn on_rewritten(&mut self, still_needed: usize, recorded: usize) {
         self.records_kept = if still_needed * 2 > recorded.max(1) {
             self.records.len() + self.records.len() / 4
--- a/src/jobs/class_key.rs
+++ b/src/jobs/class_key.rs
@@ -1,10 +1,10 @@
-//! Classes of jobs.
+//! The key of a class of jobs, by which controllers exchange run times.
 
 use crate::protocol::users::Submission;
 
-/// The key of a job's class: jobs of one class may use the same machines.
+/// Returns the key of a job's class. Jobs of the same class may use the same machines.
 ///
-/// The text is a frame format: controllers send each other run times under it. It must not change.
+/// Controllers send each other run times under this text, so its format must not change.
 pub fn class_key(spec: &Submission) -> String {
     format!(
         "{}|{:?}|{:?}|{}",
--- a/src/jobs/dependency_graph.rs
+++ b/src/jobs/dependency_graph.rs
@@ -1,22 +1,24 @@
-//! Dependencies between jobs: which are blocked, what follows from the ends that are stored, and how requirements are
-//! propagated along a chain. Nothing here is stored: every controller derives the same from its replica. All walks are
-//! iterative, as chains may be long.
+//! Dependencies between jobs: which jobs are blocked, which become ready or are cancelled when a dependency ends, and
+//! how requirements are propagated along a chain.
+//!
+//! The graph isn't stored: every controller derives the same graph from its replica. All traversals are iterative,
+//! because chains may be too long for recursion.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
-/// The state of a dependency, by what is stored.
+/// The state of a dependency according to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// It has not ended.
+    /// No end of the dependency is stored.
     Open,
-    /// Its end is stored as done.
+    /// The dependency is stored as done.
     Done,
-    /// Its end is stored as cancelled.
+    /// The dependency is stored as cancelled.
     Cancelled,
 }
 
-/// What followed from an end or from a new job.
+/// The effects on dependent jobs of ended or added jobs.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ReadinessChanges {
     /// Jobs that are no longer blocked.
@@ -28,29 +30,31 @@
 /// The blocked jobs and their dependencies.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
-    /// For each blocked job, how many of its dependencies have not ended.
-    unfinished_dependencies: HashMap<Rc<str>, usize>,
+    /// For each blocked job, the number of its dependencies that have not ended.
+    open_dependencies: HashMap<Rc<str>, usize>,
     /// For each job that has not ended, the jobs that depend on it.
     dependents: HashMap<Rc<str>, Vec<Rc<str>>>,
-    /// Jobs that are cancelled with a dependency and have no end of their own.
+    /// Jobs that are cancelled because a dependency is, and whose own end is not stored yet.
     cancelled: HashSet<Rc<str>>,
+    /// The changes since the last call of [`take_changes`](Self::take_changes).
     changes: ReadinessChanges,
 }
 
 impl DependencyGraph {
-    /// Adds a job with dependencies, each of which was accepted before it; `outcome` gives their states.
+    /// Adds a job with dependencies. Each dependency must have been accepted before the job; `outcome` returns its
+    /// state.
     pub fn add(
         &mut self,
         id: &Rc<str>,
         dependencies: &[String],
         outcome: impl Fn(&str) -> JobOutcome,
     ) {
-        let mut unfinished_dependencies = 0;
+        let mut open_dependencies = 0;
         for dependency in dependencies {
             match outcome(dependency) {
                 JobOutcome::Done => {}
                 JobOutcome::Open if !self.cancelled.contains(dependency.as_str()) => {
-                    unfinished_dependencies += 1
+                    open_dependencies += 1
                 }
                 JobOutcome::Open | JobOutcome::Cancelled => {
                     self.cancel(id);
@@ -58,37 +62,34 @@
                 }
             }
         }
-        if unfinished_dependencies == 0 {
+        if open_dependencies == 0 {
             self.changes.ready.push(id.clone());
             return;
         }
-        self.unfinished_dependencies
-            .insert(id.clone(), unfinished_dependencies);
+        self.open_dependencies.insert(id.clone(), open_dependencies);
         for dependency in dependencies
             .iter()
-            .filter(|n| outcome(n) == JobOutcome::Open)
+            .filter(|dependency| outcome(dependency) == JobOutcome::Open)
         {
-            let waiting = self
+            let dependents = self
                 .dependents
                 .entry(dependency.as_str().into())
                 .or_default();
-            waiting.push(id.clone());
+            dependents.push(id.clone());
         }
     }
 
-    /// A job's own end is stored; `done` unless it is cancelled.
+    /// Handles the stored end of a job: `done` is true if the job is done and false if it is cancelled.
     pub fn ended(&mut self, id: &Rc<str>, done: bool) {
-        self.unfinished_dependencies.remove(id);
+        self.open_dependencies.remove(id);
         if done {
             for dependent in self.dependents.remove(id).unwrap_or_default() {
-                let Some(unfinished_dependencies) =
-                    self.unfinished_dependencies.get_mut(&dependent)
-                else {
+                let Some(open_dependencies) = self.open_dependencies.get_mut(&dependent) else {
                     continue;
                 };
-                *unfinished_dependencies -= 1;
-                if *unfinished_dependencies == 0 {
-                    self.unfinished_dependencies.remove(&dependent);
+                *open_dependencies -= 1;
+                if *open_dependencies == 0 {
+                    self.open_dependencies.remove(&dependent);
                     self.changes.ready.push(dependent);
                 }
             }
@@ -99,55 +100,58 @@
     }
 
     fn cancel(&mut self, id: &Rc<str>) {
-        self.unfinished_dependencies.remove(id);
+        self.open_dependencies.remove(id);
         self.cancelled.insert(id.clone());
         self.changes.cancelled.push(id.clone());
         self.cancel_dependents(id);
     }
 
-    /// Cancels all that depend on a job, directly or indirectly.
+    /// Cancels all jobs that depend on a job, directly or indirectly.
     fn cancel_dependents(&mut self, id: &Rc<str>) {
-        let mut reached = vec![id.clone()];
-        while let Some(id) = reached.pop() {
+        let mut to_visit = vec![id.clone()];
+        while let Some(id) = to_visit.pop() {
             for dependent in self.dependents.remove(&id).unwrap_or_default() {
-                // One that has ended, or was reached on another path, is no longer blocked.
-                if self.unfinished_dependencies.remove(&dependent).is_some() {
+                // A dependent that has ended or was visited on another path is no longer blocked.
+                if self.open_dependencies.remove(&dependent).is_some() {
                     self.cancelled.insert(dependent.clone());
                     self.changes.cancelled.push(dependent.clone());
-                    reached.push(dependent);
+                    to_visit.push(dependent);
                 }
             }
         }
     }
 
-    /// Whether a job is blocked.
+    /// Returns whether a job is blocked.
     #[cfg(test)]
     pub fn is_waiting(&self, id: &str) -> bool {
-        self.unfinished_dependencies.contains_key(id)
+        self.open_dependencies.contains_key(id)
     }
 
-    /// Takes what followed since the last call.
+    /// Returns the changes since the last call and clears them.
     pub fn take_changes(&mut self) -> ReadinessChanges {
         std::mem::take(&mut self.changes)
     }
 }
 
-/// Propagates requirements of some jobs to all that they depend on, directly or indirectly. `order` is the order of
-/// acceptance; `raise` takes a dependency and its dependent, and returns whether that raised the requirements.
+/// Propagates requirements of the jobs in `sources` to all jobs that they depend on, directly or indirectly. `order`
+/// returns the position of a job in the order of acceptance. `raise` raises the requirements of a dependency (first
+/// argument) to those of its dependent (second argument) and returns whether they changed.
 ///
-/// A job is accepted after its dependencies. Taking the latest first therefore visits each job once, when all of
-/// its dependents have been visited. In any other order a ladder of diamonds is walked once for each path.
+/// A job is accepted after its dependencies. Visiting the latest accepted job first therefore visits each job only
+/// once, after all of its dependents. In any other order, a chain of diamond-shaped dependencies would be traversed
+/// once for each of its paths, whose number grows exponentially.
 pub fn propagate_requirements<J: Copy + Ord>(
-    from: impl IntoIterator<Item = J>,
+    sources: impl IntoIterator<Item = J>,
     order: impl Fn(J) -> u64,
     dependencies: impl Fn(J) -> Vec<J>,
     mut raise: impl FnMut(J, J) -> bool,
 ) {
-    let mut reached: BTreeSet<(u64, J)> = from.into_iter().map(|job| (order(job), job)).collect();
-    while let Some((_, job)) = reached.pop_last() {
+    let mut to_visit: BTreeSet<(u64, J)> =
+        sources.into_iter().map(|job| (order(job), job)).collect();
+    while let Some((_, job)) = to_visit.pop_last() {
         for dependency in dependencies(job) {
             if raise(dependency, job) {
-                reached.insert((order(dependency), dependency));
+                to_visit.insert((order(dependency), dependency));
             }
         }
     }
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -14,74 +14,78 @@
 /// The state of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Task {
-    /// On no machine.
+    /// The task is on no machine and not done.
     Pending,
-    /// It may be on a machine.
+    /// The task may be on a machine.
     Assigned {
-        /// That machine.
+        /// The index of that machine.
         machine: MachineIndex,
         /// The number of the attempt.
         attempt: u64,
-        /// The assignment record that holds this, once one does.
+        /// The assignment record that holds this assignment. None until one is stored.
         recorded_by: Option<RecordNumber>,
     },
-    /// Completed.
+    /// The task has completed.
     Done {
-        /// The assignment record that holds this, once one does.
+        /// The assignment record that holds the completion. None until one is stored.
         recorded_by: Option<RecordNumber>,
     },
 }
 
-/// A job as its leader knows it.
+/// The leader's view of a job.
 #[derive(Debug)]
 pub struct Job {
-    /// Its id, as its user gave it.
+    /// The id that the user gave the job.
     pub id: Rc<str>,
-    /// The submission, its priority raised to that of the jobs that wait on it.
+    /// The submission. Its priority is raised to that of the jobs that depend on this job.
     pub spec: Rc<Submission>,
-    /// Its class, as by [`class_key`].
+    /// The job's class, see [`class_key`].
     pub class: Rc<str>,
-    /// The index of its team in the settings.
+    /// The index of the job's team in the settings.
     pub team: usize,
-    /// The revision of its creation: the order of acceptance.
+    /// The revision of the store at which the job was created. It gives the order of acceptance.
     pub acceptance_order: u64,
-    /// When it was submitted, as far as this controller knows: its own deadline counts from then.
+    /// When the job was submitted, as far as this controller knows. The job's own deadline counts from then.
     pub submitted_at: Time,
-    /// When it could begin: all other times count from then.
+    /// When the job became ready; while it is blocked, when it was submitted. All times other than the deadline count
+    /// from then.
     pub ready_at: Time,
-    /// It waits for other jobs: it takes no part of a limit or guarantee and is not scheduled.
+    /// Whether the job is blocked on dependencies. It is then not scheduled and uses nothing of a limit or guarantee.
     pub is_blocked: bool,
-    /// By when it must be done for the jobs that wait on it to meet their deadlines; infinite if none has one.
+    /// When the job must be done for the jobs that depend on it to meet their deadlines. Infinite if none has a
+    /// deadline.
     pub required_by: Time,
-    /// How many values beside its own hold the ids of jobs that it waits on.
+    /// Number of additional values in the store that hold ids of the job's dependencies. The size of a value is
+    /// limited.
     pub dependency_parts: u32,
     tasks: Vec<Task>,
-    /// Tasks from this one on were never taken to be placed.
+    /// The first task that was never taken to be placed; the tasks after it weren't either.
     next_unplaced: u32,
-    /// Tasks that came off their machines, to be placed once more.
+    /// Tasks that were released from their machines and are to be placed again.
     requeued: Vec<u32>,
-    /// How many tasks are done.
+    /// Number of tasks that are done.
     pub done_tasks: u32,
-    /// How many tasks may be on machines and are not done.
+    /// Number of tasks that may be on machines and are not done.
     pub assigned_tasks: u32,
-    /// How it ended, if it did.
+    /// How the job ended. None if it has not ended.
     pub end: Option<JobEnd>,
-    /// Whether the end, if any, is stored.
+    /// Whether the end is stored. False if the job has not ended.
     pub end_stored: bool,
-    /// Not to be placed before this moment.
+    /// No task of the job is placed before this time.
     pub backoff_until: Time,
-    /// Machines on which its tasks failed since one completed.
+    /// Machines on which tasks of the job failed since one last completed. Placement avoids them where it can.
     pub failed_machines: HashSet<MachineIndex>,
-    /// Machines on which tasks of the present attempt of a gang failed.
+    /// Machines on which tasks of the gang failed in its present attempt.
     pub failed_machines_in_attempt: HashSet<MachineIndex>,
-    /// The last backoff, in seconds.
+    /// The duration of the last backoff, in seconds; 0 if a task has completed since. The next backoff doubles it,
+    /// within limits.
     pub backoff_s: f64,
-    /// How many of its attempts are or may be on machines, completed ones included.
+    /// Number of attempts of the job's tasks that are or may be on machines, completed ones included.
     pub live_attempts: u32,
 }
 
 impl Job {
-    /// A job of which nothing has run; it could begin when it was submitted.
+    /// Creates a job of which no task has run and that was ready when it was submitted.
     pub fn new(
         id: Rc<str>,
         spec: Rc<Submission>,
@@ -115,46 +119,47 @@
         }
     }
 
-    /// Whether all its tasks run together.
+    /// Returns whether the job is a gang, whose tasks all run at the same time.
     pub fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
 
-    /// Whether it is a step of a chain that has a deadline. A task that is lost with a spot machine starts anew, and
-    /// of a step's many tasks one usually was: half of the late chains waited for that.
+    /// Returns whether the job is part of a chain that has a deadline. Such jobs avoid spot machines: a task that is
+    /// lost with a preempted machine starts from the beginning, and with many tasks at least one is usually lost. Half
+    /// of the chains that missed their deadline had waited for such a task.
     pub fn is_chain_step_with_deadline(&self) -> bool {
         let is_last = !self.spec.waits_on.is_empty() && self.spec.deadline_s.is_some();
         is_last || self.required_by.is_finite()
     }
 
-    /// The resources that each task takes.
+    /// Returns the resources that each task takes.
     pub fn task_resources(&self) -> Resources {
         task_resources(&self.spec)
     }
 
-    /// Tasks that are on no machine and not done.
+    /// Returns the number of tasks that are on no machine and not done.
     pub fn pending_tasks(&self) -> u32 {
         self.spec.tasks - self.done_tasks - self.assigned_tasks
     }
 
-    /// The state of a task.
+    /// Returns the state of a task.
     pub fn task(&self, task: u32) -> Task {
         self.tasks[task as usize]
     }
 
-    /// The machine that a task may be on with this attempt.
+    /// Returns the machine that a task may be on with this attempt. None if the task is not assigned with it.
     pub fn machine_of(&self, task: u32, attempt: u64) -> Option<MachineIndex> {
         match self.tasks.get(task as usize)? {
             Task::Assigned {
                 machine,
-                attempt: a,
+                attempt: assigned_attempt,
                 ..
-            } if *a == attempt => Some(*machine),
+            } if *assigned_attempt == attempt => Some(*machine),
             _ => None,
         }
     }
 
-    /// Takes the next task to be placed; the caller binds it.
+    /// Takes the next pending task to be placed. The caller must assign it to a machine, or it is never placed.
     pub fn take_pending(&mut self) -> Option<u32> {
         loop {
             let task = match self.requeued.pop() {
@@ -171,7 +176,8 @@
         }
     }
 
-    /// A task is assigned to a machine, or may be there; `recorded_by` is the assignment record that says so.
+    /// Records that a task is assigned to a machine or may be there. `recorded_by` is the stored assignment record that
+    /// holds this, if there is one.
     pub fn assign(
         &mut self,
         task: u32,
@@ -187,7 +193,7 @@
         self.assigned_tasks += 1;
     }
 
-    /// A task is surely off its machine.
+    /// Makes an assigned task pending again. It must be certain that the task doesn't run on its machine.
     pub fn release(&mut self, task: u32) {
         if let Task::Assigned { .. } = self.task(task) {
             self.tasks[task as usize] = Task::Pending;
@@ -196,7 +202,7 @@
         }
     }
 
-    /// A task is done; `recorded_by` is the assignment record that says so.
+    /// Records that a task is done. `recorded_by` is the stored assignment record that holds this, if there is one.
     pub fn complete(&mut self, task: u32, recorded_by: Option<RecordNumber>) {
         match self.task(task) {
             Task::Done { .. } => return,
@@ -207,7 +213,7 @@
         self.done_tasks += 1;
     }
 
-    /// Whether it is stored that a task is done.
+    /// Returns whether the store holds that a task is done, by an assignment record or by the end of the job.
     pub fn is_completion_stored(&self, task: u32) -> bool {
         self.end_stored
             || matches!(
@@ -218,13 +224,14 @@
             )
     }
 
-    /// Whether it is stored that this attempt may be on a machine.
+    /// Returns whether an assignment record with this attempt of a task is stored.
     pub fn is_assignment_stored(&self, task: u32, attempt: u64) -> bool {
         matches!(self.task(task),
-            Task::Assigned { attempt: a, recorded_by: Some(_), .. } if a == attempt)
+            Task::Assigned { attempt: assigned_attempt, recorded_by: Some(_), .. }
+                if assigned_attempt == attempt)
     }
 
-    /// An assignment record that holds this state of a task is stored. A state that has changed since is not recorded.
+    /// Records that an assignment record with this state of a task was stored. Ignored if the state has changed since.
     pub fn on_recorded(&mut self, task: u32, state: LoggedState, number: RecordNumber) {
         match (&mut self.tasks[task as usize], state) {
             (
@@ -233,14 +240,16 @@
                     recorded_by,
                     ..
                 },
-                LoggedState::Assigned { attempt: a },
-            ) if *attempt == a => *recorded_by = Some(number),
+                LoggedState::Assigned {
+                    attempt: logged_attempt,
+                },
+            ) if *attempt == logged_attempt => *recorded_by = Some(number),
             (Task::Done { recorded_by }, LoggedState::Done) => *recorded_by = Some(number),
             _ => {}
         }
     }
 
-    /// Whether an assignment record is the only one that holds the present state of a task.
+    /// Returns whether this assignment record, and no later one, holds the present state of a task.
     pub fn is_recorded_by(&self, task: u32, number: RecordNumber) -> bool {
         match self.task(task) {
             Task::Pending => false,
--- a/src/jobs/job_table.rs
+++ b/src/jobs/job_table.rs
@@ -1,4 +1,4 @@
-//! The jobs that a leader knows, by a small index and by id.
+//! The jobs that a leader knows, by index and by id.
 
 use std::collections::{BTreeMap, HashMap, btree_map};
 use std::ops::Index;
@@ -6,7 +6,7 @@
 
 use super::{Job, JobIndex};
 
-/// The jobs that a leader knows, in the order in which it came to know them.
+/// The jobs that a leader knows, in the order in which they were added.
 #[derive(Debug, Default)]
 pub struct JobTable {
     jobs: BTreeMap<JobIndex, Job>,
@@ -15,17 +15,17 @@
 }
 
 impl JobTable {
-    /// The index of the job with this id.
+    /// Returns the index of the job with this id.
     pub fn index_of(&self, id: &str) -> Option<JobIndex> {
         self.index_by_id.get(id).copied()
     }
 
-    /// Whether a job with this id is known.
+    /// Returns whether the table contains a job with this id.
     pub fn contains_id(&self, id: &str) -> bool {
         self.index_by_id.contains_key(id)
     }
 
-    /// Adds a job under a new index.
+    /// Adds a job and returns its index, which no other job of this table ever has.
     pub fn insert(&mut self, job: Job) -> JobIndex {
         let index = self.next_index;
         self.next_index += 1;
@@ -34,40 +34,40 @@
         index
     }
 
-    /// Removes a job.
+    /// Removes a job by its index and returns it.
     pub fn remove(&mut self, index: &JobIndex) -> Option<Job> {
         let job = self.jobs.remove(index)?;
         self.index_by_id.remove(&job.id);
         Some(job)
     }
 
-    /// How many jobs are known.
+    /// Returns the number of jobs.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// A job by its index.
+    /// Returns a job by its index.
     pub fn get(&self, index: &JobIndex) -> Option<&Job> {
         self.jobs.get(index)
     }
 
-    /// A job by its index, to change it.
+    /// Returns a job by its index, for changes.
     pub fn get_mut(&mut self, index: &JobIndex) -> Option<&mut Job> {
         self.jobs.get_mut(index)
     }
 
-    /// All jobs with their indices, in the order of these.
+    /// Iterates over the jobs with their indices, in the order of the indices.
     pub fn iter(&self) -> btree_map::Iter<'_, JobIndex, Job> {
         self.jobs.iter()
     }
 
-    /// All jobs, in the order of their indices.
+    /// Iterates over the jobs, in the order of their indices.
     pub fn values(&self) -> btree_map::Values<'_, JobIndex, Job> {
         self.jobs.values()
     }
 
-    /// All indices, in order.
+    /// Iterates over the indices, in ascending order.
     #[cfg(test)]
     pub fn keys(&self) -> btree_map::Keys<'_, JobIndex, Job> {
         self.jobs.keys()
--- a/src/jobs/objectives.rs
+++ b/src/jobs/objectives.rs
@@ -1,9 +1,10 @@
-//! What the service-level objectives ask of a job.
+//! Targets that the service-level objectives set for a job.
 
 use crate::config::{Config, ObjectiveKind};
 use crate::protocol::users::Submission;
 
-/// How soon tasks of a class should start.
+/// Returns the time in seconds within which the tasks of a job should start: the shortest target of the wait objectives
+/// for its class and, if its team has a guarantee, of the guarantee objectives. Infinite if there is none.
 pub fn strictest_start_target_s(config: &Config, spec: &Submission) -> f64 {
     let team_has_guarantee = config
         .team(&spec.team)
--- a/src/jobs/task_name.rs
+++ b/src/jobs/task_name.rs
@@ -1,11 +1,11 @@
-//! Names of tasks, as workers know them.
+//! Names of tasks in the protocol with the workers.
 
-/// The name of a task: its job's id, a slash and its number.
+/// Returns the name of a task: its job's id, a slash and the task's number.
 pub fn task_name(id: &str, task: u32) -> String {
     format!("{id}/{task}")
 }
 
-/// The job id and the number in a task's name; None if it isn't one.
+/// Splits the name of a task into its job's id and the task's number. None if the text isn't the name of a task.
 pub fn parse_task_name(name: &str) -> Option<(&str, u32)> {
     let (id, task) = name.rsplit_once('/')?;
     Some((id, task.parse().ok()?))
