--- a/src/fleet/delegations.rs
+++ b/src/fleet/delegations.rs
@@ -7,8 +7,8 @@
 //!
 //! A renewal by a delegate doesn't endanger a later leader: its term begins after that read, hence after the heartbeat
 //! was sent, and it waits a full lease expiry from the start of its term. The present leader releases no attempt in
-//! that zone because of silence from before it requests the delegation until one lease expiry after the delegation was
-//! revoked.
+//! that zone because of silence while a delegate may answer. This period begins when the leader requests the
+//! delegation, which precedes the write to the store, and ends one lease expiry after the delegation was revoked.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -26,7 +26,7 @@
     Unstored,
     /// The delegation is in force.
     Active {
-        /// The revision of the record, which the write that revokes it is conditional on.
+        /// The revision of the record. The write that revokes the delegation is conditional on this revision.
         revision: u64,
     },
     /// The delegation is revoked.
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 struct Delegation {
     key: String,
-    /// The desired state: whether the delegation should be in force. Changes once at most, from true to false.
+    /// The desired state: whether the delegation should be in force. Changes at most once, from true to false.
     wanted: bool,
     state: DelegationState,
     /// Whether a write of the record has not been answered yet.
@@ -62,13 +62,13 @@
         self.wanted && matches!(self.state, DelegationState::Active { .. })
     }
 
-    /// Returns whether a delegate may have answered workers within the last `lease_s` seconds, or may still answer
-    /// them. A delegation that was never sent to the store and is no longer wanted ends without a write.
-    fn may_affect_leases(&self, lease_s: f64, now: Time) -> bool {
+    /// Returns whether a delegate may have answered workers within the last `lease_expiry_s` seconds, or may still
+    /// answer them. A delegation that was never sent to the store and is no longer wanted ends without a write.
+    fn may_affect_leases(&self, lease_expiry_s: f64, now: Time) -> bool {
         match self.state {
             DelegationState::Unstored => self.wanted || self.write_in_flight,
             DelegationState::Active { .. } => true,
-            DelegationState::Revoked { at } => now - at <= lease_s,
+            DelegationState::Revoked { at } => now - at <= lease_expiry_s,
         }
     }
 }
@@ -119,12 +119,12 @@
     pub(super) fn revoke_and_prune(
         &mut self,
         is_partitioned: impl Fn(&str) -> bool,
-        lease_s: f64,
+        lease_expiry_s: f64,
         now: Time,
     ) {
         self.by_zone.retain(|zone, delegation| {
             delegation.wanted &= is_partitioned(zone);
-            delegation.may_affect_leases(lease_s, now)
+            delegation.may_affect_leases(lease_expiry_s, now)
         });
     }
 
@@ -148,8 +148,8 @@
             {
                 continue;
             }
-            // A key is written at most twice and never deleted in this term. If the store applies a repeated copy of
-            // either write, its condition fails because the key's revision has changed.
+            // A key is written at most twice and never deleted in this term. If a repeated copy of either write reaches
+            // the store, its condition fails because the key's revision has changed.
             let record = DelegationRecord {
                 fencing_token,
                 zone: zone.to_string(),
@@ -179,8 +179,8 @@
         self.by_zone.values().any(Delegation::needs_write)
     }
 
-    /// Records the outcome of a write of a zone's delegation: the revision at which it was applied, or None if it was
-    /// not applied.
+    /// Records the outcome of a write of a zone's delegation: the revision at which it was applied, or None if it is
+    /// known not to have been applied.
     pub(super) fn on_write_outcome(&mut self, zone: &str, revision: Option<u64>, now: Time) {
         let Some(delegation) = self.by_zone.get_mut(zone) else {
             return;
--- a/src/fleet/direct_calls.rs
+++ b/src/fleet/direct_calls.rs
@@ -55,8 +55,9 @@
                     .is_none_or(|at| now - at > min_interval_s))
     }
 
-    /// Returns whether launches may be sent in the answer to a periodic heartbeat or in a direct call, by `origin`.
-    /// That message also meets the requests for a direct call, so they are cleared.
+    /// Returns whether the next message to the worker may carry launches. The message is the answer to a heartbeat if
+    /// `origin` is `Periodic`, and a direct call if it is `DirectReply`. Either message meets the requests for a direct
+    /// call, so they are cleared.
     pub(crate) fn take_launch_permission(
         &mut self,
         origin: HeartbeatOrigin,
@@ -68,8 +69,8 @@
         accepts_launches && (origin == HeartbeatOrigin::Periodic || direct_launch_requested)
     }
 
-    /// Records the outcome of a direct call. Returns the attempts that the call was to launch if it was never sent: no
-    /// launch of them is under way, so they can be placed elsewhere.
+    /// Records the outcome of a direct call. If the call was never sent, returns the attempts that it was to launch and
+    /// that can't have been launched in another way: they can be placed elsewhere.
     pub(crate) fn on_direct_call_ended(
         &mut self,
         outcome: &DirectCommandOutcome,
@@ -125,7 +126,8 @@
     }
 
     /// Requests a direct call to a worker that contacted some controller recently, unless the worker has already made
-    /// contact in this term. The call fences off a former leader and returns the worker's heartbeat without delay.
+    /// contact in this term. The call fences off a former leader and returns the worker's heartbeat without delay. Adds
+    /// the machine if it is unknown.
     pub fn request_contact(
         &mut self,
         name: &str,
@@ -144,8 +146,9 @@
         }
     }
 
-    /// Returns at most `max_calls` machines with a requested direct call that may be sent now. Drops requests that were
-    /// met. Calls that carry no launch are sent to a machine at most once in `min_interval_s` seconds.
+    /// Returns at most `max_calls` machines with a requested direct call that may be sent now. Calls that carry no
+    /// launch are sent to a machine at most once in `min_interval_s` seconds. Drops requests that were met, and those
+    /// for machines that are terminating or removed.
     pub(crate) fn due_direct_calls(
         &mut self,
         min_interval_s: f64,
--- a/src/fleet/liveness.rs
+++ b/src/fleet/liveness.rs
@@ -11,21 +11,23 @@
 /// If at least this many workers, and more than half of all, don't acknowledge the leader's answers, the fault is taken
 /// to be the leader's and not theirs.
 const UNACKNOWLEDGING_MACHINES_MIN: usize = 3;
-/// If most machines are silent at once, this controller is taken to be partitioned for at most this many worker lease
-/// expiries. After that, silent machines count as lost all the same.
+/// If most machines are silent at once, this controller is taken to be partitioned, but not for longer than this
+/// multiple of [`Fleet::worker_lease_expiry_s`]. After that, silent machines count as lost all the same, as long as
+/// some machine makes contact.
 const UNTRUSTED_SILENCE_LEASE_EXPIRIES: f64 = 2.0;
 /// If no worker at all makes contact for this number of heartbeat intervals, the leader may be partitioned: with two or
 /// more live machines some worker makes contact more often.
 const CONTACT_GAP_MAX_INTERVALS: f64 = 0.6;
 
-/// What the contacts of all machines say about the cause of some machines' silence: those machines, or this controller.
+/// Evidence on why some machines are silent: because they failed, or because this controller is partitioned. Derived
+/// from the contacts of all machines outside of partitioned zones.
 pub(crate) struct SilenceEvidence {
     /// Silence after which a machine counts as lost, in seconds.
     silence_limit_s: f64,
     /// Number of machines that made contact within that time.
     live_machines: usize,
-    /// Whether enough machines make contact to rule out that this controller is partitioned. Only then does the silence
-    /// of a machine show a fault of that machine.
+    /// Whether enough machines make contact to assume that this controller is not partitioned. Only then does the
+    /// silence of a machine show a fault of that machine.
     pub(crate) trusted: bool,
     /// Whether most workers don't acknowledge this leader's answers.
     mostly_unacknowledged: bool,
@@ -99,8 +101,8 @@
             .is_some_and(|machine| machine.has_launch_in_doubt(now, limit_s))
     }
 
-    /// Returns the attempts that are certain not to run: all attempts on machines whose worker's lease has expired, and
-    /// attempts that were never launched on overdue or unresponsive machines. The latter can be placed elsewhere
+    /// Returns the attempts that are certain not to run: all attempts on machines whose worker's lease has expired. On
+    /// overdue or unresponsive machines also the attempts that were never launched: they can be placed elsewhere
     /// without waiting for the lease to expire.
     pub(crate) fn expired_attempts(&self, now: Time) -> Vec<(MachineIndex, AttemptKey)> {
         let mut expired = Vec::new();
@@ -149,8 +151,8 @@
                     .is_some_and(|at| self.silence_s(at, now) < silence_limit_s)
             })
             .count();
-        // If fewer than half of the machines make contact, this controller is more likely to be partitioned than all of
-        // them. Then only the expiry of the workers' leases counts.
+        // If fewer than half of the machines make contact, a partition of this controller is more likely than a failure
+        // of all silent machines. Then only the expiry of the workers' leases counts.
         let trusted = live_machines * 2 >= up_machines().count()
             && (live_machines < 2
                 || now - self.last_worker_contact() < interval_s * CONTACT_GAP_MAX_INTERVALS);
@@ -162,8 +164,8 @@
         }
     }
 
-    /// Returns whether a machine is to be returned as lost: it is quarantined, has a launch in doubt for too long, is
-    /// silent or unresponsive, or never came up.
+    /// Returns whether a machine is to be returned as lost: it is quarantined and its running tasks have completed or
+    /// had time to complete, it has a launch in doubt for too long, it is silent or unresponsive, or it never came up.
     pub(crate) fn is_lost(
         &self,
         machine: &Machine,
@@ -174,6 +176,7 @@
         let lease_s = self.config.deployment.workers.lease_s;
         let is_silent_since = |since| self.silence_s(since, now) > evidence.silence_limit_s;
         if machine.quarantined {
+            // Its running tasks may complete until one worker lease after the end of its backoff.
             let mut attempts = machine.attempts.values();
             return attempts.all(|a| a.completed || a.running_since.is_none())
                 || now - machine.backoff_until > lease_s;
@@ -186,8 +189,8 @@
             return evidence.trusted && !evidence.mostly_unacknowledged && is_silent_since(since);
         }
         if self.is_partitioned(machine) && machine.is_only_stopping() {
-            // Tasks that remain there of failed gangs keep the whole gangs from being placed again, so the machine
-            // isn't kept until the partition ends.
+            // A failed gang can't be placed again before all of its tasks are off their machines, so the machine isn't
+            // kept until the partition ends.
             return evidence.trusted;
         }
         if machine.is_up() {
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -84,7 +84,7 @@
     pub preemption_at: Option<Time>,
     /// The attempts that are or may be on the machine.
     pub attempts: BTreeMap<AttemptKey, TaskAttempt>,
-    /// The resources that attempts take which have not completed.
+    /// The resources taken by the attempts that have not completed.
     pub used: Resources,
     /// The price of the machine's resources at its present load, see `scheduler::pricing`.
     pub price: f64,
@@ -98,7 +98,7 @@
     pub surplus_since: Option<Time>,
     /// Number of task failures that count against the machine since a task last completed there.
     pub consecutive_failures: u32,
-    /// The jobs of these failures.
+    /// The jobs whose tasks caused the failures counted in `consecutive_failures`.
     pub failed_jobs: HashSet<JobIndex>,
     /// The machine gets no new work before this time.
     pub backoff_until: Time,
@@ -198,7 +198,7 @@
     }
 
     /// Returns whether every attempt that has not completed is running, can save a checkpoint and is not being stopped.
-    /// All of them can then continue on other machines. Gangs are excluded.
+    /// All of them can then continue on other machines. False if any of them is part of a gang.
     pub fn can_evict_gracefully(&self, jobs: &JobTable) -> bool {
         self.attempts
             .iter()
@@ -256,6 +256,8 @@
         self.failed_jobs.clear();
     }
 
+    /// Subtracts the resources of an attempt that has completed or was removed. An empty machine uses exactly zero,
+    /// whatever the rounding errors of earlier sums.
     fn release_resources(&mut self, resources: Resources) {
         self.used = if self.is_empty() {
             Resources::default()
@@ -264,8 +266,9 @@
         };
     }
 
-    /// Compares the attempts that should be on the machine with those that a new heartbeat lists (`reported`). Returns
-    /// the attempts that are gone. `fenced`: whether the heartbeat shows this leader's fencing token.
+    /// Compares the attempts that are or may be on the machine with those that a new heartbeat lists (`reported`).
+    /// Returns the attempts that are gone, and marks launches that were dropped to be sent again. `fenced`: whether the
+    /// heartbeat shows this leader's fencing token.
     pub(crate) fn gone_attempts(
         &mut self,
         reported: &HashSet<AttemptKey>,
--- a/src/fleet/machine/heartbeats.rs
+++ b/src/fleet/machine/heartbeats.rs
@@ -52,8 +52,8 @@
         now: Time,
     ) {
         if heartbeat.agent_epoch > self.agent_epoch {
-            // The worker rejects direct calls for an earlier agent epoch from now on, so launches are no longer in
-            // doubt.
+            // The worker rejects direct calls for an earlier agent epoch from now on, so the launches that they carried
+            // are no longer in doubt.
             self.attempts_not_to_reap.clear();
             for task_attempt in self.attempts.values_mut().filter(|a| a.in_doubt()) {
                 task_attempt.direct_launch = None;
--- a/src/fleet/task_attempt.rs
+++ b/src/fleet/task_attempt.rs
@@ -60,8 +60,8 @@
 pub struct TaskAttempt {
     /// The resources that the attempt takes.
     pub resources: Resources,
-    /// Whether a former leader may have launched the attempt: it was assigned before this term, or was first listed by
-    /// a heartbeat.
+    /// Whether a former leader may have launched the attempt: it was assigned before this term, or this leader first
+    /// learned of it from a heartbeat.
     pub inherited: bool,
     /// The last reported state. None if no heartbeat has listed the attempt.
     pub state: Option<TaskState>,
@@ -73,7 +73,7 @@
     pub stop_grace_s: Option<f64>,
     /// When this leader assigned the attempt or, if it is inherited, first learned of it.
     pub placed_at: Time,
-    /// When it was first reported as running, which implies that its image is fetched.
+    /// When the attempt was first reported as running, which implies that its image is fetched.
     pub running_since: Option<Time>,
     /// Whether the attempt has completed. It then takes no resources, and stays here until its completion is stored and
     /// the worker has forgotten it.
@@ -117,8 +117,9 @@
         self.in_doubt() || (self.direct_launch.is_some() && exit_reason != ExitReason::Done)
     }
 
-    /// Returns whether a launch is still to be sent, by the commands and reports so far, and may go with a message of
-    /// this origin.
+    /// Returns whether a message of this origin may carry a launch of the attempt: as far as this leader knows, the
+    /// attempt was not launched yet. While a direct launch is in doubt, only the answer to a periodic heartbeat may
+    /// repeat the launch.
     pub(crate) fn awaits_launch(&self, origin: HeartbeatOrigin) -> bool {
         let was_launched = self.state.is_some() || self.inherited || self.launch_sent;
         !was_launched && (origin == HeartbeatOrigin::Periodic || !self.in_doubt())
@@ -140,8 +141,8 @@
         !(is_saving && grace_s > 0.0)
     }
 
-    /// Handles a new heartbeat of the machine that doesn't list the attempt. `fenced`: whether the heartbeat shows this
-    /// leader's fencing token.
+    /// Handles a new heartbeat of the machine that doesn't list the attempt. A launch that was dropped is marked to be
+    /// sent again. `fenced`: whether the heartbeat shows this leader's fencing token.
     pub(super) fn on_absent(&mut self, origin: HeartbeatOrigin, fenced: bool) -> AbsentAttempt {
         if self.completed {
             return AbsentAttempt::Gone;
--- a/src/fleet/zones.rs
+++ b/src/fleet/zones.rs
@@ -18,9 +18,10 @@
 /// Maximum age of a recent contact with a zone, as a fraction of the silence that marks a zone as partitioned. A recent
 /// contact ends the partition of its zone, and shows that a partition of another zone isn't a fault of the leader.
 const RECENT_CONTACT_SHARE: f64 = 0.5;
-/// A zone counts as partitioned for at most this number of boot times after it last had enough silent machines.
+/// A zone counts as partitioned for at most this number of boot times after it last met the conditions of a partition.
+/// The longest boot time of any machine type counts.
 const PARTITION_HOLD_BOOT_TIMES: f64 = 2.0;
-/// Silent machines of a partitioned zone are kept for this number of boot times.
+/// Silent machines of a partitioned zone are kept for this number of boot times of their type.
 const PARTITIONED_MACHINE_BOOT_TIMES: f64 = 2.5;
 /// Number of machines of a zone with a delegation that are called at a time, to detect the end of the partition.
 const PROBED_MACHINES_MAX: usize = 3;
@@ -28,12 +29,12 @@
 /// The state of the zones: contacts, partitions and delegations.
 #[derive(Debug, Default)]
 pub(crate) struct ZoneMonitor {
-    /// When a machine of each zone last made contact, by zone.
+    /// When any machine of a zone last made contact, by zone.
     last_contact_at: HashMap<Rc<str>, Time>,
     /// The partitioned zones, and when their partitions end at the latest if no contact ends them before. No machines
     /// are rented in these zones.
     partitioned_until: HashMap<Rc<str>, Time>,
-    /// When the last partition of each zone ended, by zone.
+    /// When the last partition of a zone ended, by zone.
     partition_ended_at: HashMap<Rc<str>, Time>,
     /// When a delegate last relayed the state of a zone's tasks, by zone.
     last_relay_at: HashMap<Rc<str>, Time>,
@@ -95,8 +96,8 @@
         zones
     }
 
-    /// Records the outcome of a write of a zone's delegation: the revision at which it was applied, or None if it was
-    /// not applied.
+    /// Records the outcome of a write of a zone's delegation: the revision at which it was applied, or None if it is
+    /// known not to have been applied.
     pub(crate) fn on_write_outcome(&mut self, zone: &str, revision: Option<u64>, now: Time) {
         self.delegations.on_write_outcome(zone, revision, now);
     }
@@ -209,8 +210,9 @@
     /// Returns whether a machine that has made contact has been silent for too long.
     ///
     /// Machines in a partitioned zone have a longer limit: if the partition is short, they are reachable again sooner
-    /// than replacements could boot and fetch their images. After a partition has ended, their workers get at least the
-    /// duration of a worker lease to find the leader.
+    /// than replacements could boot and fetch their images. The relays of a delegate count as contact with all machines
+    /// of the zone. After a partition has ended, their workers get at least the duration of a worker lease to find the
+    /// leader.
     pub(super) fn is_silent(&self, machine: &Machine, catalog: &MachineCatalog, now: Time) -> bool {
         let workers = &self.config.deployment.workers;
         let last_contact = machine
--- a/src/jobs/assignment_log.rs
+++ b/src/jobs/assignment_log.rs
@@ -1,10 +1,12 @@
 //! The assignment log: the records by which the leader stores which tasks are assigned, released or done.
 //!
 //! An assignment record holds the state changes of tasks of many jobs since the previous record. The rate of writes
-//! therefore depends on the time between records and not on the number of jobs. States that only an old record still
-//! holds are rewritten into a new record, oldest record first, so that its entries of released tasks can be dropped.
-//! Each record names the oldest valid record. Older records are deleted afterwards, and stay invalid if a repeated copy
-//! of their transaction stores them again.
+//! therefore depends on the time between records and not on the number of jobs.
+//!
+//! Assignments and completions that only an old record still holds are rewritten into a new record, so that the old one
+//! can be deleted. The oldest record is always rewritten first: no older record then holds an assignment that its
+//! entries of released tasks revoke, so they can be dropped. Each record names the oldest valid record. Older records
+//! are deleted afterwards, and stay invalid if a repeated copy of their transaction stores them again.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -56,7 +58,8 @@
     pub record: AssignmentRecord,
     /// The tasks that the record holds, in the order in which they were added.
     pub recorded: Vec<LoggedTask>,
-    /// Upper bound of the size of the record when it is written, in bytes.
+    /// Estimated size of the record when it is written, in bytes. The estimate is an upper bound, except that it counts
+    /// a range of tasks as if the position of its machine had no more digits than the number of the task.
     bytes: usize,
     bytes_max: usize,
     /// The positions of machines in the record's list of machines.
@@ -71,7 +74,7 @@
 }
 
 impl AssignmentRecordBuilder {
-    /// Creates a builder for a record of at most `bytes_max` bytes.
+    /// Creates a builder for a record whose estimated size is at most `bytes_max` bytes.
     pub fn new(bytes_max: usize) -> Self {
         AssignmentRecordBuilder {
             record: AssignmentRecord::default(),
@@ -88,7 +91,7 @@
         self.recorded.is_empty()
     }
 
-    /// Returns an upper bound of the size of the record so far, in bytes.
+    /// Returns the estimated size of the record so far, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -229,9 +232,9 @@
 impl AssignmentLog {
     /// Creates the log for a new leader from the numbers of the stored records.
     ///
-    /// The numbers of its new records are higher than all numbers used in earlier terms. They contain the fencing
-    /// token, which is a revision of the store and so rises with every transaction, and a transaction writes too few
-    /// records to exhaust the counter.
+    /// The numbers of its new records are higher than all numbers used in earlier terms: they begin with the fencing
+    /// token, which is a revision of the store. Every transaction raises the revision, and a single transaction holds
+    /// fewer records than the counter can number, so no term reaches the numbers of a later one.
     pub fn new(
         fencing_token: u64,
         stored: impl Iterator<Item = RecordNumber>,
@@ -297,9 +300,9 @@
         oldest.map(|(number, tasks)| (*number, tasks.as_slice()))
     }
 
-    /// Adapts the number of records to keep to how many tasks of a rewritten record were `still_needed`. If that is
-    /// more than half, rewriting costs more than it saves and more records are kept. Otherwise the number falls step by
-    /// step to its minimum.
+    /// Adapts the number of records to keep after a record was rewritten that held `recorded` tasks, of which
+    /// `still_needed` had to be written again. If these are more than half, rewriting costs more than it saves and more
+    /// records are kept. Otherwise the number falls step by step to its minimum.
     pub fn on_rewritten(&mut self, still_needed: usize, recorded: usize) {
         self.records_kept = if still_needed * 2 > recorded.max(1) {
             self.records.len() + self.records.len() / 4
--- a/src/jobs/dependency_graph.rs
+++ b/src/jobs/dependency_graph.rs
@@ -18,7 +18,7 @@
     Cancelled,
 }
 
-/// The effects on dependent jobs of ended or added jobs.
+/// The jobs that became ready or are cancelled because a job ended or was added.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ReadinessChanges {
     /// Jobs that are no longer blocked.
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -55,11 +55,11 @@
     /// When the job must be done for the jobs that depend on it to meet their deadlines. Infinite if none has a
     /// deadline.
     pub required_by: Time,
-    /// Number of additional values in the store that hold ids of the job's dependencies. The size of a value is
+    /// Number of additional values in the store that hold ids of the job's dependencies, because the size of a value is
     /// limited.
     pub dependency_parts: u32,
     tasks: Vec<Task>,
-    /// The first task that was never taken to be placed; the tasks after it weren't either.
+    /// The tasks from this number on have never been taken for placement.
     next_unplaced: u32,
     /// Tasks that were released from their machines and are to be placed again.
     requeued: Vec<u32>,
@@ -73,7 +73,8 @@
     pub end_stored: bool,
     /// No task of the job is placed before this time.
     pub backoff_until: Time,
-    /// Machines on which tasks of the job failed since one last completed. Placement avoids them where it can.
+    /// Machines on which tasks of the job failed, or couldn't start because another attempt was in the way, since a
+    /// task last completed. Placement avoids them where it can.
     pub failed_machines: HashSet<MachineIndex>,
     /// Machines on which tasks of the gang failed in its present attempt.
     pub failed_machines_in_attempt: HashSet<MachineIndex>,
--- a/src/jobs/job_table.rs
+++ b/src/jobs/job_table.rs
@@ -52,7 +52,7 @@
         self.jobs.get(index)
     }
 
-    /// Returns a job by its index, for changes.
+    /// Returns a job by its index, for modification.
     pub fn get_mut(&mut self, index: &JobIndex) -> Option<&mut Job> {
         self.jobs.get_mut(index)
     }
