--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -198,7 +198,9 @@
             config, fleet, now, ..
         } = inputs;
         if !self.cloud.has_queued_rentals()
-            && self.cloud.knows_fleet(config, fleet, term_started_at, *now)
+            && self
+                .cloud
+                .is_fleet_known(config, fleet, term_started_at, *now)
         {
             self.cloud
                 .queue_rentals(plan.rentals, inputs.catalog, fencing_token);
--- a/src/autoscaler/capacity_units.rs
+++ b/src/autoscaler/capacity_units.rs
@@ -1,4 +1,4 @@
-//! Machines as one scaling pass sees them.
+//! Capacity units: the machines that one scaling pass allocates to classes of jobs.
 
 use std::cmp::Ordering;
 use std::rc::Rc;
@@ -10,38 +10,39 @@
 use crate::protocol::users::Priority;
 use crate::resources::Resources;
 
-/// A machine as one scaling pass sees it: up, coming, or to be rented.
+/// A machine in one scaling pass: up, booting or to be rented.
 pub(crate) struct CapacityUnit {
-    /// The machine, unless it is still to be rented.
+    /// The machine's index. None if it is still to be rented.
     pub(crate) index: Option<MachineIndex>,
-    /// Its type, and whether it is a spot machine.
+    /// The machine type, and whether it is a spot machine.
     pub(super) option: MachineOption,
     pub(super) zone: Rc<str>,
-    /// What is left of it for further classes.
+    /// The capacity that this pass has not allocated yet. At the start of a pass that is the whole machine, whatever
+    /// runs on it.
     pub(super) free: Resources,
-    /// What a CPU costs there.
+    /// The price per CPU.
     pub(super) unit_price: f64,
-    /// The largest share of a resource that is in use now.
+    /// The dominant share of the resources that are in use now.
     pub(super) used_share: f64,
-    /// Whether its worker has reported.
+    /// Whether the machine's worker has made contact in this term.
     pub(crate) up: bool,
-    /// Whether a large task is or may be on it.
+    /// Whether a large task runs or may run on the machine.
     pub(crate) runs_large_tasks: bool,
-    /// Whether tasks are or may be on it, and none of them is large.
+    /// Whether tasks run or may run on the machine, and none of them is large.
     pub(crate) runs_small_tasks: bool,
-    /// The highest priority of what is on it.
+    /// The highest priority of the uncompleted attempts on the machine. None if there is no such attempt.
     pub(super) highest_priority: Option<Priority>,
-    /// The work that this pass keeps it for, if any.
+    /// The role for which this pass has allocated the machine. None if no class needs it so far.
     pub(crate) planned_role: Option<MachineRole>,
 }
 
 impl CapacityUnit {
-    /// Whether this pass keeps it for large work.
+    /// Whether this pass has allocated the machine to large tasks.
     pub(crate) fn is_planned_for_large_tasks(&self) -> bool {
         self.planned_role == Some(MachineRole::Large)
     }
 
-    /// The lowest price first, then machines that are up, then those in use most.
+    /// The order of allocation: the lowest price first, then machines that are up, then the most used.
     fn preference(&self, other: &Self) -> Ordering {
         self.unit_price
             .total_cmp(&other.unit_price)
@@ -51,7 +52,8 @@
 }
 
 impl ScalingInputs<'_> {
-    /// The machines that are up or coming, in the order in which classes choose them.
+    /// The machines that are up or booting, in the order of allocation. Machines that can't take work are left out:
+    /// those being returned, quarantined, about to be preempted, or in a partitioned zone.
     pub(super) fn capacity_units(&self) -> Vec<CapacityUnit> {
         let mut units: Vec<CapacityUnit> = self
             .fleet
@@ -65,7 +67,7 @@
         units
     }
 
-    /// A machine for one pass. None if its type is unknown, or if it should have come up long ago.
+    /// The capacity unit of a machine. None if the machine's type is unknown or its boot is too late to count on it.
     fn capacity_unit(&self, index: MachineIndex, machine: &Machine) -> Option<CapacityUnit> {
         let tunables = &self.config.tunables;
         let type_index = machine.type_index?;
--- a/src/autoscaler/cloud.rs
+++ b/src/autoscaler/cloud.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud, one at a time, and what comes of them.
+//! Calls to the cloud: which call is made next, and what the leader knows from the answers. One call is made at a time.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -12,76 +12,79 @@
 use crate::protocol::cloud::{ListedMachine, MachineType, RentRequest};
 use crate::runtime::Time;
 
-/// Interval of reading the list, as a multiple of the list's lag; at least a heartbeat interval.
+/// Interval between reads of the cloud's machine list, as a multiple of the list's lag; at least a heartbeat interval.
 const LIST_INTERVAL_LAGS: f64 = 0.8;
-/// Interval of asking for prices, in leases of the workers.
+/// Interval between reads of the machine types and their prices, in worker leases.
 const TYPES_INTERVAL_LEASES: f64 = 3.0;
-/// Machines returned with one request, at most, as the protocol says.
+/// The maximum number of machines returned with one request, set by the cloud's protocol.
 const MACHINES_PER_DELETE_MAX: usize = 100;
-/// Names remembered of returned machines, at most: several times as many as a fleet has.
+/// The maximum number of names of returned machines that are remembered: several times the size of a fleet.
 const RETURNED_NAMES_MAX: usize = 16 * 1024;
-/// All workers have reported after so many heartbeat intervals of a term.
+/// The time from the start of a term after which all workers have sent a heartbeat, in heartbeat intervals.
 const FLEET_KNOWN_HEARTBEAT_INTERVALS: f64 = 1.5;
-/// Or earlier, once this share of the machines has reported.
-const REPORTED_SHARE_MIN: f64 = 0.95;
+/// The share of the machines whose workers must have made contact for the fleet to count as known earlier than that.
+const CONTACTED_SHARE_MIN: f64 = 0.95;
 
 /// A call to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudCall {
-    /// Which types there are, at which prices.
+    /// Reads the machine types and their prices.
     Types,
-    /// Which machines there are, those after this name.
-    List { after: String },
-    /// Rent machines for this role.
+    /// Reads a page of the machine list.
+    List {
+        /// The name after which the page starts; empty for the first page.
+        after: String,
+    },
+    /// Rents machines for this role. The role is not sent to the cloud.
     Rent(RentRequest, MachineRole),
-    /// Return machines, by their names.
+    /// Returns the machines with these names.
     Delete(Vec<String>),
 }
 
-/// What came of a call.
+/// The outcome of a call.
 #[derive(Debug, Clone)]
 pub enum CloudAnswer {
     /// All types.
     Types(Vec<MachineType>),
-    /// A page of the list, and whether there are more.
+    /// A page of the machine list, and whether more pages follow.
     List(Vec<ListedMachine>, bool),
-    /// The names of the machines rented, perhaps fewer than requested.
+    /// The names of the rented machines, possibly fewer than requested.
     Rented(Vec<String>),
-    /// The machines are gone.
+    /// The machines are returned.
     Deleted,
-    /// The pool has no machine now.
+    /// The pool has no machines left.
     NoCapacity,
-    /// Surely not carried out, or carried out without an answer: the same is to be requested again.
+    /// The call was not carried out, or was carried out without an answer: the same call must be repeated.
     Failed,
 }
 
-/// What the list showed when it was first read to its end in this term.
+/// What the first complete read of the machine list in this term has shown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FirstListing {
-    /// It was not read to its end yet.
+    /// The list has not been read to its end yet.
     Incomplete,
-    /// No machine was there before this term.
+    /// The fleet was empty.
     NoMachines,
-    /// Machines were there.
+    /// The fleet had machines.
     Machines,
 }
 
-/// The leader's dealings with the cloud.
+/// The leader's view of the cloud: queued calls, exhausted pools and returned machines.
 #[derive(Debug)]
 pub struct CloudState {
-    /// Pools that have refused machines.
+    /// Pools that have refused machines in this term.
     pub(super) pools: BTreeMap<PoolKey, Pool>,
-    /// Number of the last rental request; names of requests are never used twice.
-    last_request: u64,
-    /// Requests to be made, the first one perhaps made already.
-    rentals: VecDeque<(RentRequest, MachineRole)>,
+    /// The number of the last rental request. Names of requests are never reused.
+    last_request_number: u64,
+    /// Rental requests without an answer. The first one may have been sent already.
+    queued_rentals: VecDeque<(RentRequest, MachineRole)>,
     /// Machines to be returned.
-    returns: Vec<MachineIndex>,
-    /// Names of machines that were returned: a late list or heartbeat may still show them.
-    returned: HashSet<Rc<str>>,
-    /// The same, the first returned first.
-    returned_order: VecDeque<Rc<str>>,
-    /// The name after which the list is to be read on, if it is longer than a page.
+    queued_returns: Vec<MachineIndex>,
+    /// Names of returned machines: a late list page or heartbeat may still show them.
+    returned_names: HashSet<Rc<str>>,
+    /// The names in `returned_names` in the order of return, the oldest first.
+    returned_names_in_order: VecDeque<Rc<str>>,
+    /// The name after which the next page of the list starts. None if no further page is due.
     list_continuation: Option<String>,
     next_list_at: Time,
     next_types_at: Time,
@@ -89,15 +92,15 @@
 }
 
 impl CloudState {
-    /// Nothing is known of the cloud; list and types are to be read at once.
+    /// The state at the start of a term: the list and the types are read at once.
     pub(super) fn new(now: Time) -> Self {
         CloudState {
             pools: BTreeMap::new(),
-            last_request: 0,
-            rentals: VecDeque::new(),
-            returns: Vec::new(),
-            returned: HashSet::new(),
-            returned_order: VecDeque::new(),
+            last_request_number: 0,
+            queued_rentals: VecDeque::new(),
+            queued_returns: Vec::new(),
+            returned_names: HashSet::new(),
+            returned_names_in_order: VecDeque::new(),
             list_continuation: None,
             next_list_at: now,
             next_types_at: now,
@@ -105,16 +108,16 @@
         }
     }
 
-    /// The next call to make, if one is due.
+    /// The next call to make. None if none is due. Returns come first, then rentals, the list and the types.
     pub(crate) fn next_call(
         &mut self,
         deployment: &Deployment,
         fleet: &Fleet,
         now: Time,
     ) -> Option<CloudCall> {
-        if !self.returns.is_empty() {
+        if !self.queued_returns.is_empty() {
             let names: Vec<String> = self
-                .returns
+                .queued_returns
                 .iter()
                 .filter_map(|index| fleet.machines.get(index))
                 .map(|machine| machine.name.to_string())
@@ -123,9 +126,9 @@
             if !names.is_empty() {
                 return Some(CloudCall::Delete(names));
             }
-            self.returns.clear();
+            self.queued_returns.clear();
         }
-        if let Some((rent, role)) = self.rentals.front() {
+        if let Some((rent, role)) = self.queued_rentals.front() {
             return Some(CloudCall::Rent(rent.clone(), *role));
         }
         if let Some(after) = &self.list_continuation {
@@ -148,54 +151,55 @@
         None
     }
 
-    /// A machine is to be returned.
+    /// Queues a machine to be returned.
     pub(super) fn queue_return(&mut self, index: MachineIndex) {
-        self.returns.push(index);
+        self.queued_returns.push(index);
     }
 
-    /// A machine needs no return any more.
+    /// Removes a machine from the queue of returns.
     pub(crate) fn dequeue_return(&mut self, index: MachineIndex) {
-        self.returns.retain(|queued| *queued != index);
+        self.queued_returns.retain(|queued| *queued != index);
     }
 
-    /// Notes that the cloud has confirmed a machine's return. The oldest are forgotten one by one: all
-    /// at once would let a late heartbeat bring one back that went a moment ago.
+    /// Records that the cloud has confirmed a machine's return. Names are forgotten one by one, the oldest first: if all
+    /// were forgotten at once, a late heartbeat could add a machine to the fleet that was returned just before.
     pub(crate) fn record_returned(&mut self, name: Rc<str>) {
-        if self.returned.insert(name.clone()) {
-            self.returned_order.push_back(name);
+        if self.returned_names.insert(name.clone()) {
+            self.returned_names_in_order.push_back(name);
         }
-        if self.returned_order.len() > RETURNED_NAMES_MAX
-            && let Some(oldest) = self.returned_order.pop_front()
+        if self.returned_names_in_order.len() > RETURNED_NAMES_MAX
+            && let Some(oldest) = self.returned_names_in_order.pop_front()
         {
-            self.returned.remove(&oldest);
+            self.returned_names.remove(&oldest);
         }
     }
 
     /// Whether the cloud has confirmed a machine's return.
     pub(crate) fn is_returned(&self, name: &str) -> bool {
-        self.returned.contains(name)
+        self.returned_names.contains(name)
     }
 
-    /// Whether rental requests wait to be made.
+    /// Whether any rental request has no answer yet.
     pub(super) fn has_queued_rentals(&self) -> bool {
-        !self.rentals.is_empty()
+        !self.queued_rentals.is_empty()
     }
 
-    /// Queues the requests for what is to be rented, under names that contain the fencing token.
+    /// Queues requests for the planned rentals. Their names contain the fencing token, so that they differ from those
+    /// of former leaders.
     pub(super) fn queue_rentals(
         &mut self,
         rentals: RentalPlan,
         catalog: &MachineCatalog,
         fencing_token: u64,
     ) {
-        for (rental, count) in rentals {
-            let mut left = count;
-            while left > 0 {
-                let count = left.min(MACHINES_PER_RENT_MAX);
-                left -= count;
-                self.last_request += 1;
+        for (rental, total) in rentals {
+            let mut remaining = total;
+            while remaining > 0 {
+                let count = remaining.min(MACHINES_PER_RENT_MAX);
+                remaining -= count;
+                self.last_request_number += 1;
                 let rent = RentRequest {
-                    request: format!("r-{fencing_token}-{}", self.last_request),
+                    request: format!("r-{fencing_token}-{}", self.last_request_number),
                     type_name: catalog[rental.pool.type_index].name.clone(),
                     zone: rental.pool.zone.to_string(),
                     spot: rental.pool.spot,
@@ -209,18 +213,18 @@
                     count,
                     "renting machines"
                 );
-                self.rentals.push_back((rent, rental.role));
+                self.queued_rentals.push_back((rent, rental.role));
             }
         }
     }
 
-    /// The first of the queued rental requests has its answer.
+    /// Removes the first queued rental request, which has its answer.
     pub(crate) fn dequeue_rental(&mut self) {
-        self.rentals.pop_front();
+        self.queued_rentals.pop_front();
     }
 
-    /// A pool has no more machines now. Further requests to it are dropped: at some hundred machines
-    /// in requests of 50 they once kept the cloud's few calls from all other pools.
+    /// Records that a pool refused machines, and drops the other queued requests to the pool: with several hundred
+    /// machines in requests of 50, they would take the few calls that the cloud allows from all other pools.
     pub(super) fn record_refusal(
         &mut self,
         rent: &RentRequest,
@@ -229,36 +233,36 @@
         catalog: &MachineCatalog,
         now: Time,
     ) {
-        self.rentals.retain(|(queued, _)| {
+        self.queued_rentals.retain(|(queued, _)| {
             (&queued.type_name, &queued.zone, queued.spot)
                 != (&rent.type_name, &rent.zone, rent.spot)
         });
         let boot_s = catalog[pool.type_index].boot_s;
-        let machines = pool_counts(fleet).get(&pool).copied().unwrap_or(0);
+        let machine_count = pool_counts(fleet).get(&pool).copied().unwrap_or(0);
         let pool = self.pools.entry(pool).or_default();
-        pool.record_refusal(boot_s, machines, now);
+        pool.record_refusal(boot_s, machine_count, now);
     }
 
-    /// A pool served a request in full.
+    /// Records that a pool served a request in full.
     pub(super) fn record_success(&mut self, pool: &PoolKey) {
         if let Some(pool) = self.pools.get_mut(pool) {
             pool.record_success();
         }
     }
 
-    /// A page of the list was read; the next one is read at once.
+    /// Records that a page of the list was read. If there are more, the next one is read at once.
     pub(super) fn record_page(&mut self, page: &[ListedMachine], more: bool) {
         self.list_continuation = more
             .then(|| page.last().map(|machine| machine.id.clone()))
             .flatten();
     }
 
-    /// The list could not be read: it is read from its start at the next interval.
+    /// Records that a page of the list could not be read: the list is read from its start after the usual interval.
     pub(crate) fn record_list_failure(&mut self) {
         self.list_continuation = None;
     }
 
-    /// The list was read to its end.
+    /// Records that the list was read to its end, and whether the first complete list of the term had machines.
     pub(super) fn record_list_end(&mut self, fleet: &Fleet) {
         if self.first_listing == FirstListing::Incomplete {
             self.first_listing = if fleet.machines.is_empty() {
@@ -269,9 +273,9 @@
         }
     }
 
-    /// Whether a new leader knows the fleet well enough to rent more: it once rented a second
-    /// fleet before the first had reported.
-    pub(super) fn knows_fleet(
+    /// Whether this leader knows the fleet well enough to rent machines. A new leader that doesn't wait for the workers'
+    /// heartbeats takes the fleet for missing and rents a second one.
+    pub(super) fn is_fleet_known(
         &self,
         config: &Config,
         fleet: &Fleet,
@@ -285,19 +289,19 @@
             FirstListing::Incomplete => false,
             FirstListing::NoMachines => true,
             FirstListing::Machines => {
-                now - term_started_at >= settle_s || most_have_reported(fleet)
+                now - term_started_at >= settle_s || have_most_workers_made_contact(fleet)
             }
         }
     }
 }
 
-/// Whether nearly all machines that are up have reported, but for zones that are partitioned.
-fn most_have_reported(fleet: &Fleet) -> bool {
+/// Whether the workers of nearly all running machines outside of partitioned zones have made contact in this term.
+fn have_most_workers_made_contact(fleet: &Fleet) -> bool {
     let machines = fleet.machines.values();
-    let up = machines
+    let running = machines
         .filter(|m| m.last_contact_at.or(m.running_since).is_some() && !fleet.is_partitioned(m));
-    let (reported, all) = up.fold((0, 0), |(reported, all), m| {
-        (reported + usize::from(m.is_up()), all + 1)
+    let (contacted, total) = running.fold((0, 0), |(contacted, total), m| {
+        (contacted + usize::from(m.is_up()), total + 1)
     });
-    all > 0 && reported as f64 >= all as f64 * REPORTED_SHARE_MIN
+    total > 0 && contacted as f64 >= total as f64 * CONTACTED_SHARE_MIN
 }
--- a/src/autoscaler/coverage.rs
+++ b/src/autoscaler/coverage.rs
@@ -1,4 +1,4 @@
-//! Which machines serve the work: those that are up or coming, then those to be rented.
+//! Coverage: allocates machines to the demand of each class, first those that are up or booting, then rented ones.
 
 use std::collections::BTreeMap;
 
@@ -11,55 +11,61 @@
 use crate::fleet::machine_catalog::MachineOption;
 use crate::resources::tasks_that_fit;
 
-/// Machines are at a low price for a class if a CPU costs at most so many times what it costs on the cheapest machines
-/// that the class may use.
+/// Machines are at a low price for a class if their price per CPU is at most this multiple of the lowest price per CPU
+/// among the machine types that the class may use.
 pub(super) const LOW_PRICE_RATIO: f64 = 1.6;
-/// Tasks, or parts of one, that are too little to need a machine: rounding errors.
+/// Demands of up to this many tasks are rounding errors.
 pub(super) const TASKS_EPSILON: f64 = 1e-6;
 
-/// What machines are to a class.
-pub(super) struct ClassFit {
-    /// What it may use.
+/// The machines that a class may use.
+pub(super) struct ClassRequirements {
+    /// The machine types, on demand and as spot machines.
     pub(super) options: Vec<MachineOption>,
-    /// What machines must be kept for to serve it.
+    /// The role of the machines that serve the class.
     pub(super) role: MachineRole,
-    /// What a CPU may cost on machines at a low price.
+    /// The highest price per CPU that counts as low for the class.
     pub(super) low_price_limit: f64,
 }
 
-impl ClassFit {
+impl ClassRequirements {
     pub(super) fn is_large(&self) -> bool {
         self.role == MachineRole::Large
     }
 
-    /// Whether the class may use a machine, and this pass doesn't keep it for the other role.
-    fn suits(&self, class: &JobClass, unit: &CapacityUnit) -> bool {
+    /// Whether the class may use a machine, and this pass has not planned the machine for the other role.
+    fn allows(&self, class: &JobClass, unit: &CapacityUnit) -> bool {
         let zone = class.spec.zone.as_ref();
         self.options.contains(&unit.option)
             && zone.is_none_or(|z| **z == *unit.zone)
             && unit.planned_role.is_none_or(|role| role == self.role)
     }
 
-    /// Gives the class what is left of a machine, as far as it demands it.
-    fn assign(&self, class: &JobClass, unit: &mut CapacityUnit, uncovered: &mut Demand) {
-        let need = if unit.unit_price <= self.low_price_limit {
+    /// Allocates the free capacity of a machine to the class, up to its uncovered demand.
+    fn allocate(&self, class: &JobClass, unit: &mut CapacityUnit, uncovered: &mut Demand) {
+        let demanded_tasks = if unit.unit_price <= self.low_price_limit {
             uncovered.at_low_price
         } else {
             uncovered.at_any_price
         };
-        let fits = tasks_that_fit(class.task_resources, unit.free);
-        if need <= TASKS_EPSILON || fits < 1.0 {
+        let fitting_tasks = tasks_that_fit(class.task_resources, unit.free);
+        if demanded_tasks <= TASKS_EPSILON || fitting_tasks < 1.0 {
             return;
         }
-        let tasks = fits.min(need);
+        let tasks = fitting_tasks.min(demanded_tasks);
         unit.free = unit.free.minus(class.task_resources.times(tasks));
         unit.planned_role = Some(self.role);
         uncovered.subtract(tasks);
     }
 
-    /// In which round a class may use a machine: machines that do such work already come first, then free ones, then,
-    /// for large work, those where it would preempt small tasks.
-    fn round(&self, class: &JobClass, unit: &CapacityUnit, large_share: f64) -> Option<u8> {
+    /// The round in which a class may use a machine. Machines that run tasks of the same size (large or small) come
+    /// first, then empty ones, then, for large tasks, machines on which they would preempt small tasks. Small tasks
+    /// may also use a machine with a large task, in the round of empty machines, if its used share is not large.
+    fn allocation_round(
+        &self,
+        class: &JobClass,
+        unit: &CapacityUnit,
+        large_share: f64,
+    ) -> Option<u8> {
         match (
             self.is_large(),
             unit.runs_large_tasks,
@@ -74,24 +80,24 @@
     }
 }
 
-/// Rounds in which a class looks for machines, see [`ClassFit::round`].
-const ROUNDS: u8 = 3;
+/// The number of rounds in which a class is allocated machines, see [`ClassRequirements::allocation_round`].
+const ALLOCATION_ROUNDS: u8 = 3;
 
-/// One pass over all machines and classes.
+/// The state of one scaling pass over all machines and classes.
 pub(super) struct ScalingPass<'a> {
     pub(super) inputs: &'a ScalingInputs<'a>,
-    /// What is known of the pools that refused machines.
+    /// The pools that have refused machines.
     pub(super) pools: &'a BTreeMap<PoolKey, Pool>,
-    /// How many machines of each pool there are.
+    /// The number of machines in each pool, without those to be rented.
     pub(super) pool_counts: BTreeMap<PoolKey, u32>,
-    /// The machines, in the order in which classes choose them; those to be rented last.
+    /// The machines, in the order in which they are allocated; those to be rented come last.
     pub(super) units: Vec<CapacityUnit>,
-    /// What is to be rented.
+    /// The machines to be rented, by pool and role.
     pub(super) rentals: RentalPlan,
 }
 
 impl<'a> ScalingPass<'a> {
-    /// A pass that has given no machine to any class yet.
+    /// A pass in which no machine is allocated yet.
     pub(super) fn new(inputs: &'a ScalingInputs<'a>, pools: &'a BTreeMap<PoolKey, Pool>) -> Self {
         ScalingPass {
             inputs,
@@ -102,10 +108,10 @@
         }
     }
 
-    /// Finds machines for the tasks of a class: those there are, then rented ones. Returns what it found none for.
+    /// Covers the demand of a class with existing machines, then with rented ones. Returns the uncovered demand.
     pub(super) fn cover_demand(&mut self, class: &JobClass, demand: Demand) -> Demand {
         let mut uncovered = demand;
-        let fit = ClassFit {
+        let requirements = ClassRequirements {
             options: self.inputs.catalog.options(&class.spec),
             role: if self.inputs.is_large(class) {
                 MachineRole::Large
@@ -114,27 +120,35 @@
             },
             low_price_limit: self.inputs.lowest_unit_price(&class.spec) * LOW_PRICE_RATIO,
         };
-        self.assign_units(class, &fit, &mut uncovered);
-        self.rent_for(class, &fit, &mut uncovered);
+        self.allocate_existing(class, &requirements, &mut uncovered);
+        self.plan_rentals(class, &requirements, &mut uncovered);
         uncovered
     }
 
-    fn assign_units(&mut self, class: &JobClass, fit: &ClassFit, uncovered: &mut Demand) {
+    fn allocate_existing(
+        &mut self,
+        class: &JobClass,
+        requirements: &ClassRequirements,
+        uncovered: &mut Demand,
+    ) {
         let large_share = self.inputs.config.tunables.large_share;
-        for round in 0..ROUNDS {
+        for round in 0..ALLOCATION_ROUNDS {
             for unit in &mut self.units {
-                if fit.round(class, unit, large_share) == Some(round) && fit.suits(class, unit) {
-                    fit.assign(class, unit, uncovered);
+                if requirements.allocation_round(class, unit, large_share) == Some(round)
+                    && requirements.allows(class, unit)
+                {
+                    requirements.allocate(class, unit, uncovered);
                 }
             }
         }
     }
 
-    /// Nothing more can be rented: the machines of small work that are in use least turn to large work.
+    /// Allocates machines that run small tasks to a class of large tasks, the least used ones first. This is the last
+    /// resort when no pool has machines left.
     pub(super) fn convert_small_units(
         &mut self,
         class: &JobClass,
-        fit: &ClassFit,
+        requirements: &ClassRequirements,
         uncovered: &mut Demand,
     ) {
         let units = &mut self.units;
@@ -142,8 +156,8 @@
         order.sort_by(|a, b| units[*a].used_share.total_cmp(&units[*b].used_share));
         for position in order {
             let unit = &mut units[position];
-            if unit.runs_small_tasks && fit.suits(class, unit) {
-                fit.assign(class, unit, uncovered);
+            if unit.runs_small_tasks && requirements.allows(class, unit) {
+                requirements.allocate(class, unit, uncovered);
             }
         }
     }
--- a/src/autoscaler/diagnostics.rs
+++ b/src/autoscaler/diagnostics.rs
@@ -1,4 +1,4 @@
-//! The state of the fleet in the log, for debugging.
+//! Debug log of the state of the fleet.
 
 use std::collections::BTreeMap;
 
@@ -6,17 +6,18 @@
 use crate::fleet::{Fleet, Machine};
 use crate::protocol::workers::TaskState;
 
-/// Machines of one type, on demand or spot.
+/// Counts of the machines of one type, on demand or spot.
 #[derive(Debug, Default)]
 struct MachineCounts {
-    coming: u32,
+    /// Machines whose workers have not made contact in this term.
+    not_up: u32,
     up: u32,
     draining: u32,
-    /// Sum of the largest shares in use of those that are up.
-    used: f64,
+    /// The sum of the dominant shares in use on the machines that are up, in machines.
+    used_machines: f64,
 }
 
-/// Logs how many attempts are in which state, and how many machines of which type there are and are in use.
+/// Logs the number of attempts in each state, and the number and use of the machines of each type.
 pub(crate) fn log_fleet(fleet: &Fleet, catalog: &MachineCatalog) {
     log_attempts(fleet);
     let count = |matches: fn(&Machine) -> bool| {
@@ -26,7 +27,7 @@
     tracing::debug!(
         unacknowledged = count(|machine| machine.unacknowledged_heartbeats > 0),
         unresponsive = count(|machine| machine.unresponsive_since.is_some()),
-        "machines that may not receive answers"
+        "machines that may not receive heartbeat answers"
     );
     let mut counts: BTreeMap<MachineOption, MachineCounts> = BTreeMap::new();
     for machine in fleet.machines.values() {
@@ -40,19 +41,19 @@
         counts.draining += u32::from(machine.draining);
         if machine.is_up() {
             counts.up += 1;
-            counts.used += machine.used.largest_share(machine.capacity);
+            counts.used_machines += machine.used.largest_share(machine.capacity);
         } else {
-            counts.coming += 1;
+            counts.not_up += 1;
         }
     }
     for (option, counts) in counts {
         tracing::debug!(
             machine_type = %catalog[option.type_index].name,
             spot = option.spot,
-            coming = counts.coming,
+            not_up = counts.not_up,
             up = counts.up,
             draining = counts.draining,
-            used = counts.used,
+            used_machines = counts.used_machines,
             "machines of a type"
         );
     }
@@ -73,6 +74,6 @@
         fetching = in_state(Some(TaskState::Fetching)),
         running = in_state(Some(TaskState::Running)),
         completed = attempts().filter(|a| a.completed).count(),
-        "attempts"
+        "attempts by state"
     );
 }
--- a/src/autoscaler/inventory.rs
+++ b/src/autoscaler/inventory.rs
@@ -1,4 +1,4 @@
-//! What the cloud's answers show of machines that are rented, listed or to be returned.
+//! Inventory: updates the fleet from the cloud's answers, and begins the return of machines.
 
 use super::Autoscaler;
 use super::cloud::CloudState;
@@ -10,7 +10,7 @@
 use crate::runtime::Time;
 
 impl Autoscaler {
-    /// A page of the list was read.
+    /// Updates the fleet from a page of the machine list. `more` says whether further pages follow.
     pub(crate) fn on_list_page(
         &mut self,
         page: &[ListedMachine],
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Machines were rented, perhaps fewer than requested. One that has reported before the answer came is known
-    /// already.
+    /// Adds rented machines to the fleet, possibly fewer than requested. A machine whose worker has made contact before
+    /// this answer is known already and only gets its role.
     pub(crate) fn on_rented(
         &mut self,
         rent: &RentRequest,
@@ -41,10 +41,10 @@
     ) {
         let type_index = catalog.index_of(&rent.type_name);
         for name in names {
-            let known = fleet.find(name).is_some();
+            let is_known = fleet.find(name).is_some();
             let index = fleet.get_or_insert(name, &rent.zone, now);
             if let Some(machine) = fleet.machines.get_mut(&index) {
-                if !known {
+                if !is_known {
                     machine.type_index = type_index;
                     machine.capacity = type_index.map(|t| catalog.capacity(t)).unwrap_or_default();
                     machine.spot = rent.spot;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A pool has no more machines now: other pools are asked at once.
+    /// Records that a pool refused machines. The next pass is due at once, to rent from other pools.
     pub(crate) fn on_no_capacity(
         &mut self,
         rent: &RentRequest,
@@ -76,7 +76,7 @@
 }
 
 impl CloudState {
-    /// Begins the return of a machine.
+    /// Begins the return of a machine, unless it is being returned already.
     pub(crate) fn return_machine(&mut self, index: MachineIndex, reason: &str, fleet: &mut Fleet) {
         if let Some(machine) = fleet.machines.get_mut(&index)
             && !machine.terminating
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The list shows a machine: enters it, or updates what is known of it.
+    /// Adds a listed machine to the fleet or updates it. Names of returned machines are ignored: the list lags behind.
     fn on_listed(
         &mut self,
         listed: &ListedMachine,
@@ -110,7 +110,7 @@
             machine.capacity = type_index.map(|t| catalog.capacity(t)).unwrap_or_default();
             machine.spot = listed.spot;
         }
-        // A machine that was first known by its own heartbeat was rented before that.
+        // A machine that became known by a heartbeat was rented before that.
         machine.rented_at = machine.rented_at.min(now - listed.age_s);
         match listed.state {
             MachineState::Booting => {}
--- a/src/autoscaler/job_classes.rs
+++ b/src/autoscaler/job_classes.rs
@@ -1,4 +1,4 @@
-//! Classes of jobs: how large their jobs are, how long these run, how much of them waits and runs now.
+//! Classes of jobs: average job size and run time, and the numbers of pending and assigned tasks.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -13,10 +13,10 @@
 use crate::resources::Resources;
 use crate::scheduler::pricing::PricingRule;
 
-/// The owners' estimates of run times count for as much as so many run times observed.
+/// The weight of the run time that job owners estimate, as a number of observed run times.
 const ESTIMATE_WEIGHT_RUNS: f64 = 20.0;
 
-/// Means of what a task takes, one for each resource.
+/// The mean demand of a task, by resource.
 #[derive(Debug, Clone, Default)]
 struct MeanResources {
     cpus: DecayingMean,
@@ -25,7 +25,7 @@
 }
 
 impl MeanResources {
-    /// Adds what a task takes; the means after that.
+    /// Adds the demand of a task and returns the updated means.
     fn add(&mut self, resources: Resources) -> Resources {
         let add = |mean: &mut DecayingMean, value: f64| {
             mean.add(value, MEAN_JOBS);
@@ -39,25 +39,24 @@
     }
 }
 
-/// Jobs of one class that may use the same machines.
+/// A class of jobs: all may use the same machines. The averages describe recent jobs of the class.
 #[derive(Debug, Clone)]
 pub struct JobClass {
-    /// The first job seen of it, which stands for all in what they have in common.
+    /// The first job of the class in this term. Read only for what the jobs of the class have in common.
     pub(crate) spec: Rc<Submission>,
-    /// What a task takes, on the mean.
+    /// The mean demand of a task.
     pub(super) task_resources: Resources,
     mean_resources: MeanResources,
-    /// Tasks of a job.
     tasks_per_job: DecayingMean,
-    /// Run time of a task as its owner estimates it, in seconds.
+    /// The run time of a task as job owners estimate it, in seconds.
     estimated_run_s: DecayingMean,
-    /// When a job should be done, in seconds, for those that have a deadline of their own.
+    /// The deadline of the jobs that have one of their own, in seconds.
     pub(super) deadline_s: DecayingMean,
-    /// Run time of a task as observed and estimated, in seconds.
+    /// The expected run time of a task in seconds: the mean of observed and estimated run times.
     run_s: f64,
-    /// Unfinished tasks that are on no machine and may be placed now.
+    /// Tasks that may be placed now: those of jobs in backoff or blocked are left out.
     pub(crate) pending_tasks: f64,
-    /// Unfinished tasks that are on machines.
+    /// Tasks that are assigned to machines and not completed.
     pub(super) assigned_tasks: f64,
 }
 
@@ -76,7 +75,7 @@
         }
     }
 
-    /// Adds a job to the means.
+    /// Adds a job to the averages.
     fn add_job(&mut self, spec: &Submission) {
         self.tasks_per_job.add(f64::from(spec.tasks), MEAN_JOBS);
         self.estimated_run_s.add(spec.estimate_s, MEAN_JOBS);
@@ -86,8 +85,8 @@
         self.task_resources = self.mean_resources.add(task_resources(spec));
     }
 
-    /// A part of the class that needs machines of its own, with no tasks yet.
-    pub(super) fn part(&self, spec: Submission) -> Self {
+    /// A class with the averages of this one but its own requirements, and without tasks.
+    pub(super) fn subclass(&self, spec: Submission) -> Self {
         JobClass {
             spec: Rc::new(spec),
             pending_tasks: 0.0,
@@ -96,25 +95,25 @@
         }
     }
 
-    /// Tasks of a job, on the mean.
+    /// The mean number of tasks per job.
     pub(super) fn tasks_per_job(&self) -> f64 {
         self.tasks_per_job.get().unwrap_or(1.0)
     }
 
-    /// Takes away tasks for which there are machines: pending ones first.
+    /// Subtracts tasks that are covered by machines, pending ones first.
     pub(super) fn subtract_tasks(&mut self, tasks: f64) {
         let pending = self.pending_tasks.min(tasks);
         self.pending_tasks -= pending;
         self.assigned_tasks = (self.assigned_tasks - (tasks - pending)).max(0.0);
     }
 
-    /// The expected run time of a task, in seconds. Never less than a second: the first run times that are observed
-    /// are the shortest ones.
+    /// The expected run time of a task, in seconds. At least one second: the run times observed first are those of the
+    /// shortest tasks, so early means are too low.
     pub(super) fn expected_run_s(&self) -> f64 {
         self.run_s.max(1.0)
     }
 
-    /// Whether a task counts as large on each type of machines that the class may use.
+    /// Whether a task counts as large on every machine type that the class may use.
     pub(super) fn is_large(&self, catalog: &MachineCatalog, rule: &PricingRule) -> bool {
         let options = catalog.options(&self.spec);
         !options.is_empty()
@@ -124,19 +123,17 @@
     }
 }
 
-/// The classes of jobs seen in this term, by their key.
+/// The classes of the jobs that arrived in this term, by class key.
 #[derive(Debug, Default)]
 pub(crate) struct JobClasses {
     by_key: HashMap<String, JobClass>,
 }
 
 impl JobClasses {
-    /// The class with this key.
     pub(super) fn get(&self, class_key: &str) -> Option<&JobClass> {
         self.by_key.get(class_key)
     }
 
-    /// The class with this key, to change it.
     pub(super) fn get_mut(&mut self, class_key: &str) -> Option<&mut JobClass> {
         self.by_key.get_mut(class_key)
     }
@@ -146,7 +143,7 @@
         self.by_key.values()
     }
 
-    /// Records the arrival of a job.
+    /// Adds an arriving job to the averages of its class.
     pub(super) fn record_arrival(&mut self, spec: &Rc<Submission>) {
         self.by_key
             .entry(class_key(spec))
@@ -154,13 +151,13 @@
             .add_job(spec);
     }
 
-    /// The expected run time of a job's tasks, in seconds.
+    /// The expected run time of a job's tasks, in seconds: the owner's estimate if the class is unknown.
     pub(super) fn expected_run_s(&self, job: &Job) -> f64 {
         self.get(&job.class)
             .map_or(job.spec.estimate_s, JobClass::expected_run_s)
     }
 
-    /// Counts the tasks of each class that are pending and assigned, and updates the expected run times.
+    /// Recounts the pending and assigned tasks of each class and updates the expected run times.
     pub(super) fn update(&mut self, inputs: &ScalingInputs, forecast: &ArrivalForecast) {
         for class in self.by_key.values_mut() {
             class.pending_tasks = 0.0;
@@ -185,8 +182,8 @@
         }
     }
 
-    /// The classes in the order in which they choose machines: those whose tasks take most of a machine first, then
-    /// those that may use the fewest types.
+    /// The classes in the order in which they are covered: first those with large tasks, then those that may use the
+    /// fewest machine types.
     pub(super) fn in_scaling_order(&self, inputs: &ScalingInputs) -> Vec<JobClass> {
         let mut classes: Vec<JobClass> = self.values().cloned().collect();
         classes.sort_by_key(|class| {
@@ -197,8 +194,11 @@
         classes
     }
 
-    /// Below which priority jobs may borrow machines of a type that are kept for large work: those that all such work
-    /// may preempt. None while large work waits for such machines.
+    /// The priority below which jobs may borrow machines of a type with the role [`MachineRole::Large`]: the lowest
+    /// priority of the classes with large tasks, so that each of these may preempt the borrowers. None while a job with
+    /// large tasks waits for such machines, or if no class has large tasks.
+    ///
+    /// [`MachineRole::Large`]: crate::fleet::MachineRole::Large
     pub(super) fn borrowing_priority_limit(
         &self,
         type_index: usize,
@@ -208,15 +208,18 @@
         waiting_jobs: &BTreeSet<JobIndex>,
     ) -> Option<Priority> {
         let machine_type = &catalog[type_index];
-        let large = |spec: &Submission| {
+        let has_large_tasks = |spec: &Submission| {
             is_type_allowed(spec, machine_type)
                 && rule.is_large(task_resources(spec), catalog.capacity(type_index))
         };
-        if waiting_jobs.iter().any(|index| large(&jobs[index].spec)) {
+        if waiting_jobs
+            .iter()
+            .any(|index| has_large_tasks(&jobs[index].spec))
+        {
             return None;
         }
         self.values()
-            .filter(|class| large(&class.spec))
+            .filter(|class| has_large_tasks(&class.spec))
             .map(|class| class.spec.priority)
             .min()
     }
--- a/src/autoscaler/pools.rs
+++ b/src/autoscaler/pools.rs
@@ -1,4 +1,4 @@
-//! Pools of machines that the cloud rents from, and what it has refused there.
+//! Pools from which the cloud rents machines, and the backoff after a pool refused a request.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -14,17 +14,19 @@
 /// The longest backoff after a pool refused machines, in boot times.
 const REFUSAL_BACKOFF_BOOT_TIMES_MAX: f64 = 0.8;
 
-/// Machines of one type in one zone, on demand or spot: what the cloud has room for or not.
+/// A pool: machines of one type in one zone, on demand or spot. The cloud's capacity is limited by pool.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolKey {
-    /// The type's index in the catalog.
+    /// The machine type's index in the catalog.
     pub type_index: usize,
+    /// Whether these are spot machines.
     pub spot: bool,
+    /// The zone of the machines.
     pub zone: Rc<str>,
 }
 
 impl PoolKey {
-    /// The pool that a request rents from. None if its type isn't known any more.
+    /// The pool that a request rents from. None if the catalog no longer has its machine type.
     pub(super) fn of_request(rent: &RentRequest, catalog: &MachineCatalog) -> Option<Self> {
         Some(PoolKey {
             type_index: catalog.index_of(&rent.type_name)?,
@@ -34,63 +36,64 @@
     }
 }
 
-/// What machines are rented for.
+/// The pool that machines are rented from, and the role that they are rented for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RentalKey {
     pub(super) pool: PoolKey,
     pub(super) role: MachineRole,
 }
 
-/// How many machines are to be rented.
+/// The number of machines to rent, by pool and role.
 pub(super) type RentalPlan = BTreeMap<RentalKey, u32>;
 
 /// A pool that has refused machines.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Pool {
-    /// Until when no more machines are requested than there were.
-    refused_until: Time,
-    /// The last backoff in seconds, until a request is served in full.
+    /// When the backoff ends. Until then requests only replace machines that were lost since the refusal.
+    backoff_until: Time,
+    /// The duration of the last backoff in seconds. None once a request is served in full.
     backoff_s: Option<f64>,
-    /// How many machines of it there were when it last refused.
-    refused_at: u32,
+    /// The number of machines in the pool at the last refusal.
+    machines_at_refusal: u32,
 }
 
 impl Pool {
-    /// The pool has no more machines now.
-    pub(super) fn record_refusal(&mut self, boot_s: f64, machines: u32, now: Time) {
+    /// Records that the pool refused machines, and doubles the backoff within its bounds. Without a boot time there is no
+    /// backoff.
+    pub(super) fn record_refusal(&mut self, boot_s: f64, machine_count: u32, now: Time) {
         let backoff_s = self
             .backoff_s
             .map_or(0.0, |backoff_s| backoff_s * 2.0)
             .max(boot_s * REFUSAL_BACKOFF_BOOT_TIMES)
             .min(boot_s * REFUSAL_BACKOFF_BOOT_TIMES_MAX);
         self.backoff_s = Some(backoff_s).filter(|backoff_s| *backoff_s > 0.0);
-        self.refused_until = now + backoff_s;
-        self.refused_at = machines;
+        self.backoff_until = now + backoff_s;
+        self.machines_at_refusal = machine_count;
     }
 
-    /// A request was served in full.
+    /// Records that a request was served in full.
     pub(super) fn record_success(&mut self) {
         self.backoff_s = None;
     }
 
-    /// Whether it refused the last request, or is not asked for more machines now.
+    /// Whether the pool refused the last request or is in backoff.
     pub(super) fn is_exhausted(&self, now: Time) -> bool {
-        self.refused_until > now || self.backoff_s.is_some()
+        self.backoff_until > now || self.backoff_s.is_some()
     }
 
-    /// How many more machines may be requested, if that is limited, where there are so many of the pool and so many of
-    /// them are planned in this pass.
-    pub(super) fn rental_limit(&self, machines: u32, planned: u32, now: Time) -> Option<u32> {
-        if self.refused_until > now {
-            return Some(self.refused_at.saturating_sub(machines));
+    /// How many more machines may be requested. None if there is no limit. `machine_count` is the number of machines in
+    /// the pool, including the `planned` ones that this pass is to rent.
+    pub(super) fn rental_limit(&self, machine_count: u32, planned: u32, now: Time) -> Option<u32> {
+        if self.backoff_until > now {
+            return Some(self.machines_at_refusal.saturating_sub(machine_count));
         }
-        // One request shows whether it has room again.
+        // A single request tests whether the pool has machines again.
         self.backoff_s
             .map(|_| MACHINES_PER_RENT_MAX.saturating_sub(planned))
     }
 }
 
-/// How many machines of each pool there are.
+/// The number of known machines in each pool.
 pub(super) fn pool_counts(fleet: &Fleet) -> BTreeMap<PoolKey, u32> {
     let mut counts = BTreeMap::new();
     for machine in fleet.machines.values() {
--- a/src/autoscaler/pools/tests.rs
+++ b/src/autoscaler/pools/tests.rs
@@ -4,10 +4,11 @@
 
 const BOOT_S: f64 = 100.0;
 
-/// The backoff doubles from refusal to refusal, within its bounds; meanwhile only as many machines as there were may be
-/// requested.
+/// The backoff doubles with each refusal, within its bounds. During the backoff only machines that were lost since the
+/// refusal may be requested; after it, a single request. Without this, requests to an exhausted pool use up the calls to
+/// the cloud.
 #[test]
-fn a_pool_that_refuses_is_left_alone_for_longer_each_time() {
+fn backoff_doubles_with_each_refusal() {
     let mut pool = Pool::default();
     assert!(!pool.is_exhausted(0.0));
     assert_eq!(pool.rental_limit(7, 0, 0.0), None);
@@ -18,7 +19,7 @@
         assert_eq!(pool.rental_limit(4, 0, now + backoff_s - 0.1), Some(3));
         now += backoff_s;
         assert!(pool.is_exhausted(now));
-        // One request shows whether it has room again.
+        // A single request tests whether the pool has machines again.
         assert_eq!(
             pool.rental_limit(9, 10, now),
             Some(MACHINES_PER_RENT_MAX - 10)
@@ -26,9 +27,9 @@
     }
 }
 
-/// A request that is served in full ends the backoff, but not the limit from the last refusal before its time.
+/// A request served in full resets the duration of the backoff, but doesn't end the present backoff early.
 #[test]
-fn a_pool_that_serves_a_request_in_full_has_room_again() {
+fn full_rental_resets_backoff_duration() {
     let mut pool = Pool::default();
     pool.record_refusal(BOOT_S, 7, 0.0);
     pool.record_success();
@@ -41,9 +42,9 @@
     assert_eq!(pool.rental_limit(7, 0, 60.0), Some(MACHINES_PER_RENT_MAX));
 }
 
-/// Without a boot time there is no backoff either.
+/// Backoffs are multiples of the boot time: a pool of machines without boot time is never exhausted.
 #[test]
-fn a_pool_of_machines_that_boot_at_once_is_asked_again_at_once() {
+fn no_backoff_without_boot_time() {
     let mut pool = Pool::default();
     pool.record_refusal(0.0, 7, 5.0);
     assert!(!pool.is_exhausted(5.0));
--- a/src/autoscaler/rentals.rs
+++ b/src/autoscaler/rentals.rs
@@ -1,8 +1,8 @@
-//! Which machines are rented for what no machine serves that is there.
+//! Rentals: chooses the machines to rent for demand that existing machines don't cover.
 
 use super::MACHINES_PER_RENT_MAX;
 use super::capacity_units::CapacityUnit;
-use super::coverage::{ClassFit, ScalingPass, TASKS_EPSILON};
+use super::coverage::{ClassRequirements, ScalingPass, TASKS_EPSILON};
 use super::demand::Demand;
 use super::job_classes::JobClass;
 use super::pools::{PoolKey, RentalKey};
@@ -10,36 +10,41 @@
 use crate::fleet::machine_catalog::MachineOption;
 use crate::resources::tasks_that_fit;
 
-/// A pool of which machines are to be rented.
-struct RentalChoice {
+/// A pool that machines could be rented from.
+struct PoolOffer {
     pool: PoolKey,
-    /// What machines for all of the tasks cost.
+    /// The price per hour of enough machines for all of the tasks.
     cost: f64,
-    /// Machines of the pool, those to be rented counted in.
-    machines: u32,
+    /// The number of machines in the pool, including those to be rented.
+    machine_count: u32,
     tasks_per_machine: f64,
-    /// How many more machines may be requested, if that is limited.
-    limit: Option<u32>,
+    /// How many more machines may be requested. None if the pool has no limit.
+    rental_limit: Option<u32>,
 }
 
-/// Machines that are wanted for a class.
+/// Uncovered demand of a class that machines are rented for.
 struct RentalNeed {
-    /// For so many tasks.
     tasks: f64,
-    /// What a CPU may cost, if that matters.
+    /// The highest price per CPU. None if any price is acceptable.
     unit_price_limit: Option<f64>,
 }
 
 impl ScalingPass<'_> {
-    /// Rents machines for what is uncovered: at a low price as long as there are such, then at any.
-    pub(super) fn rent_for(&mut self, class: &JobClass, fit: &ClassFit, uncovered: &mut Demand) {
+    /// Plans rentals for uncovered demand: at a low price while such machines are available, then at any price. If no
+    /// pool is left, large tasks get machines that run small ones.
+    pub(super) fn plan_rentals(
+        &mut self,
+        class: &JobClass,
+        requirements: &ClassRequirements,
+        uncovered: &mut Demand,
+    ) {
         loop {
             let low_price_only = uncovered.at_low_price > TASKS_EPSILON
                 && uncovered.at_low_price > uncovered.at_any_price;
             let need = if low_price_only {
                 RentalNeed {
                     tasks: uncovered.at_low_price,
-                    unit_price_limit: Some(fit.low_price_limit),
+                    unit_price_limit: Some(requirements.low_price_limit),
                 }
             } else {
                 RentalNeed {
@@ -50,12 +55,14 @@
             if need.tasks <= TASKS_EPSILON {
                 return;
             }
-            match self.best_pool(class, fit, &need) {
-                Some(choice) => self.rent_units(class, fit.role, need.tasks, choice, uncovered),
+            match self.cheapest_pool(class, requirements, &need) {
+                Some(offer) => {
+                    self.add_rentals(class, requirements.role, need.tasks, offer, uncovered)
+                }
                 None if low_price_only => uncovered.at_low_price = uncovered.at_any_price,
                 None => {
-                    if fit.is_large() {
-                        self.convert_small_units(class, fit, uncovered);
+                    if requirements.is_large() {
+                        self.convert_small_units(class, requirements, uncovered);
                     }
                     return;
                 }
@@ -63,24 +70,27 @@
         }
     }
 
-    /// Rents machines of a pool, for so many tasks or as many as may be requested.
-    fn rent_units(
+    /// Adds machines of a pool to the planned rentals: enough for the tasks, or as many as may be requested.
+    fn add_rentals(
         &mut self,
         class: &JobClass,
         role: MachineRole,
         tasks: f64,
-        choice: RentalChoice,
+        offer: PoolOffer,
         uncovered: &mut Demand,
     ) {
-        let limit = choice.limit.unwrap_or(u32::MAX).min(MACHINES_PER_RENT_MAX);
-        let machines = (tasks / choice.tasks_per_machine)
+        let limit = offer
+            .rental_limit
+            .unwrap_or(u32::MAX)
+            .min(MACHINES_PER_RENT_MAX);
+        let machine_count = (tasks / offer.tasks_per_machine)
             .ceil()
             .min(f64::from(limit)) as u32;
-        let pool = choice.pool;
+        let pool = offer.pool;
         let capacity = self.inputs.catalog.capacity(pool.type_index);
         let unit_price = self.inputs.catalog.unit_price(pool.type_index, pool.spot);
-        let tasks_each = choice.tasks_per_machine.min(tasks);
-        for _ in 0..machines {
+        let tasks_on_each = offer.tasks_per_machine.min(tasks);
+        for _ in 0..machine_count {
             self.units.push(CapacityUnit {
                 index: None,
                 option: MachineOption {
@@ -88,7 +98,7 @@
                     spot: pool.spot,
                 },
                 zone: pool.zone.clone(),
-                free: capacity.minus(class.task_resources.times(tasks_each)),
+                free: capacity.minus(class.task_resources.times(tasks_on_each)),
                 unit_price,
                 used_share: 0.0,
                 up: false,
@@ -97,27 +107,33 @@
                 highest_priority: None,
                 planned_role: Some(role),
             });
-            uncovered.subtract(tasks_each);
+            uncovered.subtract(tasks_on_each);
         }
-        *self.rentals.entry(RentalKey { pool, role }).or_insert(0) += machines;
+        *self.rentals.entry(RentalKey { pool, role }).or_insert(0) += machine_count;
     }
 
-    /// Where machines for so many tasks of a class cost least, among pools that have room as far as known.
-    fn best_pool(
+    /// The pool in which machines for the need cost least, among those that may be asked for more machines. Of equally
+    /// cheap pools, the one with the fewest machines is chosen. Partitioned zones are used only if the class can't use
+    /// any other zone.
+    fn cheapest_pool(
         &self,
         class: &JobClass,
-        fit: &ClassFit,
+        requirements: &ClassRequirements,
         need: &RentalNeed,
-    ) -> Option<RentalChoice> {
-        let reachable_elsewhere = self.has_reachable_zone(class, fit);
-        let mut best: Option<RentalChoice> = None;
-        for option in &fit.options {
+    ) -> Option<PoolOffer> {
+        let has_reachable_zone = self.has_reachable_zone(class, requirements);
+        let mut cheapest: Option<PoolOffer> = None;
+        for option in &requirements.options {
             let MachineOption { type_index, spot } = *option;
             let machine_type = &self.inputs.catalog[type_index];
             let capacity = self.inputs.catalog.capacity(type_index);
             let tasks_per_machine = tasks_that_fit(class.task_resources, capacity);
             let unit_price = self.inputs.catalog.unit_price(type_index, spot);
-            if tasks_per_machine < 1.0 || need.unit_price_limit.is_some_and(|l| unit_price > l) {
+            if tasks_per_machine < 1.0
+                || need
+                    .unit_price_limit
+                    .is_some_and(|limit| unit_price > limit)
+            {
                 continue;
             }
             let price = if spot {
@@ -128,7 +144,7 @@
             let cost = (need.tasks / tasks_per_machine).ceil() * price;
             for zone in &machine_type.zones {
                 if class.spec.zone.as_ref().is_some_and(|z| z != zone)
-                    || (reachable_elsewhere && self.inputs.fleet.zones.is_zone_partitioned(zone))
+                    || (has_reachable_zone && self.inputs.fleet.zones.is_zone_partitioned(zone))
                 {
                     continue;
                 }
@@ -137,29 +153,36 @@
                     spot,
                     zone: zone.as_str().into(),
                 };
-                let choice = self.rental_choice(pool, cost, tasks_per_machine);
-                if choice.limit != Some(0)
-                    && best
-                        .as_ref()
-                        .is_none_or(|b| (choice.cost, choice.machines) < (b.cost, b.machines))
+                let offer = self.pool_offer(pool, cost, tasks_per_machine);
+                if offer.rental_limit != Some(0)
+                    && cheapest.as_ref().is_none_or(|other| {
+                        (offer.cost, offer.machine_count) < (other.cost, other.machine_count)
+                    })
                 {
-                    best = Some(choice);
+                    cheapest = Some(offer);
                 }
             }
         }
-        best
+        cheapest
     }
 
     /// Whether a class may use machines in a zone that is not partitioned.
-    fn has_reachable_zone(&self, class: &JobClass, fit: &ClassFit) -> bool {
-        let partitioned = |zone: &str| self.inputs.fleet.zones.is_zone_partitioned(zone);
-        fit.options.iter().any(|option| {
+    fn has_reachable_zone(&self, class: &JobClass, requirements: &ClassRequirements) -> bool {
+        let is_partitioned = |zone: &str| self.inputs.fleet.zones.is_zone_partitioned(zone);
+        requirements.options.iter().any(|option| {
             let mut zones = self.inputs.catalog[option.type_index].zones.iter();
-            zones.any(|z| !partitioned(z) && class.spec.zone.as_ref().is_none_or(|only| only == z))
+            zones.any(|z| {
+                !is_partitioned(z)
+                    && class
+                        .spec
+                        .zone
+                        .as_ref()
+                        .is_none_or(|required| required == z)
+            })
         })
     }
 
-    fn rental_choice(&self, pool: PoolKey, cost: f64, tasks_per_machine: f64) -> RentalChoice {
+    fn pool_offer(&self, pool: PoolKey, cost: f64, tasks_per_machine: f64) -> PoolOffer {
         let planned: u32 = [MachineRole::Shared, MachineRole::Large]
             .into_iter()
             .filter_map(|role| {
@@ -167,17 +190,17 @@
                 self.rentals.get(&RentalKey { pool, role })
             })
             .sum();
-        let machines = self.pool_counts.get(&pool).copied().unwrap_or(0) + planned;
-        let limit = self
+        let machine_count = self.pool_counts.get(&pool).copied().unwrap_or(0) + planned;
+        let rental_limit = self
             .pools
             .get(&pool)
-            .and_then(|state| state.rental_limit(machines, planned, self.inputs.now));
-        RentalChoice {
+            .and_then(|state| state.rental_limit(machine_count, planned, self.inputs.now));
+        PoolOffer {
             pool,
             cost,
-            machines,
+            machine_count,
             tasks_per_machine,
-            limit,
+            rental_limit,
         }
     }
 }
--- a/src/autoscaler/surplus.rs
+++ b/src/autoscaler/surplus.rs
@@ -1,37 +1,37 @@
-//! Machines that nothing needs: which of them are drained, evicted or returned.
+//! Scale-in: which surplus machines are drained, evicted or returned.
 
 use super::ScalingInputs;
 use super::capacity_units::CapacityUnit;
 use crate::fleet::Machine;
 use crate::jobs::MachineIndex;
 
-/// The tasks of surplus machines are evicted if they fit into this share of the free CPUs of machines that stay.
-const EVICTION_ROOM_SHARE: f64 = 0.5;
-/// A machine is charged for at least this long, in seconds.
-const CHARGED_S: f64 = 60.0;
-/// A machine is not returned before this share of the shortest time that is charged has passed.
-const CHARGED_SHARE: f64 = 0.95;
+/// The tasks of surplus machines are evicted if they fit into this share of the free CPUs of the needed machines.
+const EVICTION_CAPACITY_SHARE: f64 = 0.5;
+/// The cloud's minimum charge for a machine, in seconds.
+const MINIMUM_CHARGE_S: f64 = 60.0;
+/// The share of the minimum charge that must have passed before a machine is returned.
+const MINIMUM_CHARGE_USED_SHARE: f64 = 0.95;
 
-/// What becomes of machines that no class needs.
+/// Which machines are needed, and what to do with the others.
 #[derive(Debug, Default)]
 pub(crate) struct ScaleInPlan {
     /// Machines that some class needs.
     pub(crate) needed: Vec<MachineIndex>,
-    /// Machines that none needs.
+    /// Machines that no class needs. Those in the lists below are surplus too.
     pub(crate) surplus: Vec<MachineIndex>,
-    /// Machines of these that get nothing new, so that they can be returned.
+    /// Machines that get no new tasks, so that they become empty and can be returned.
     pub(crate) drain: Vec<MachineIndex>,
-    /// Machines of these whose tasks are to go on elsewhere.
+    /// Draining machines whose tasks save a checkpoint and continue on other machines.
     pub(crate) evict: Vec<MachineIndex>,
-    /// Machines that are to be returned now.
+    /// Empty machines to return now.
     pub(crate) return_now: Vec<MachineIndex>,
 }
 
 impl ScalingInputs<'_> {
-    /// Decides which machines that have not been needed for a while are drained, evicted or returned.
+    /// Decides which machines are drained, evicted or returned: only those that have been surplus for their idle time.
     pub(crate) fn scale_in_plan(&self, units: &[CapacityUnit]) -> ScaleInPlan {
         let mut plan = ScaleInPlan::default();
-        let mut free_cpus = self.free_cpus_that_stay(units) * EVICTION_ROOM_SHARE;
+        let mut free_cpus = self.free_cpus_on_needed_machines(units) * EVICTION_CAPACITY_SHARE;
         for unit in units {
             let Some(index) = unit.index else { continue };
             let Some(machine) = self.fleet.machines.get(&index) else {
@@ -42,18 +42,22 @@
                 continue;
             }
             plan.surplus.push(index);
-            if !self.is_surplus_for_long(machine, unit) {
+            if !self.is_idle_time_over(machine, unit) {
                 continue;
             }
-            let paid = self.now - machine.rented_at > CHARGED_S * CHARGED_SHARE;
+            let is_minimum_charge_used =
+                self.now - machine.rented_at > MINIMUM_CHARGE_S * MINIMUM_CHARGE_USED_SHARE;
             if machine.is_empty() {
-                if paid && machine.attempts.is_empty() {
+                if is_minimum_charge_used && machine.attempts.is_empty() {
                     plan.return_now.push(index);
                 }
                 continue;
             }
             plan.drain.push(index);
-            if paid && machine.used.cpus <= free_cpus && machine.can_evict_gracefully(self.jobs) {
+            if is_minimum_charge_used
+                && machine.used.cpus <= free_cpus
+                && machine.can_evict_gracefully(self.jobs)
+            {
                 free_cpus -= machine.used.cpus;
                 plan.evict.push(index);
             }
@@ -61,19 +65,22 @@
         plan
     }
 
-    /// CPUs that are free on machines for small work that stay.
-    fn free_cpus_that_stay(&self, units: &[CapacityUnit]) -> f64 {
-        let stay = units
+    /// The free CPUs on the needed machines that are up and run small tasks.
+    fn free_cpus_on_needed_machines(&self, units: &[CapacityUnit]) -> f64 {
+        let needed = units
             .iter()
             .filter(|u| u.planned_role.is_some() && u.up && !u.is_planned_for_large_tasks());
-        stay.filter_map(|u| self.fleet.machines.get(&u.index?))
+        needed
+            .filter_map(|u| self.fleet.machines.get(&u.index?))
             .map(|machine| (machine.capacity.cpus - machine.used.cpus).max(0.0))
             .sum::<f64>()
     }
 
-    fn is_surplus_for_long(&self, machine: &Machine, unit: &CapacityUnit) -> bool {
+    /// Whether a machine that is up has been surplus for as long as idle machines are kept, see
+    /// [`Tunables::idle_ratio`](crate::config::Tunables::idle_ratio).
+    fn is_idle_time_over(&self, machine: &Machine, unit: &CapacityUnit) -> bool {
         let since = machine.surplus_since.unwrap_or(self.now);
-        let kept_s = self.catalog[unit.option.type_index].boot_s * self.config.tunables.idle_ratio;
-        machine.is_up() && self.now - since >= kept_s
+        let idle_s = self.catalog[unit.option.type_index].boot_s * self.config.tunables.idle_ratio;
+        machine.is_up() && self.now - since >= idle_s
     }
 }
