--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -1,8 +1,8 @@
-//! Scales the fleet: rents machines for work that waits or is expected, and returns those that nothing needs.
+//! The autoscaler: rents machines for pending and expected tasks, and returns surplus machines.
 //!
-//! Each pass estimates per class of jobs for how many tasks there should be machines ([`demand`]), gives the classes the
-//! machines that are there ([`coverage`]), rents what lacks from the pools that have room ([`rentals`]) and lets go of what
-//! is too many ([`surplus`]). A pass decides; `leader::scaling` carries out.
+//! Each pass estimates the demand of each class of jobs ([`demand`]), allocates the existing machines to the classes
+//! ([`coverage`]), plans rentals for the uncovered demand from pools that are not exhausted ([`rentals`]), and selects
+//! surplus machines to drain or return ([`surplus`]). The autoscaler decides, `leader::scaling` carries it out.
 
 pub(crate) mod arrival_forecast;
 mod capacity_units;
@@ -39,50 +39,49 @@
 pub use cloud::{CloudAnswer, CloudCall};
 pub use job_classes::JobClass;
 
-/// Interval of the passes in heartbeat intervals, and the longest one in seconds.
+/// Interval between passes, in heartbeat intervals; at most [`PASS_INTERVAL_S_MAX`].
 const PASS_INTERVAL_HEARTBEATS: f64 = 0.3;
-/// See [`PASS_INTERVAL_HEARTBEATS`].
+/// The longest interval between passes, in seconds.
 const PASS_INTERVAL_S_MAX: f64 = 1.0;
-/// Machines rented with one request, at most, as the protocol says.
+/// The maximum number of machines rented with one request, set by the cloud's protocol.
 const MACHINES_PER_RENT_MAX: u32 = 50;
 
-/// What the autoscaler keeps between its passes.
+/// The state of the autoscaler between passes.
 pub(crate) struct Autoscaler {
-    /// The classes of jobs seen in this term.
+    /// The classes of the jobs that arrived in this term.
     classes: JobClasses,
-    /// What this controller has observed and learnt of arrivals and run times, in this term and before.
+    /// Arrival rates and run times. Shared with the rest of this controller, which keeps them across terms.
     forecast: Rc<RefCell<ArrivalForecast>>,
-    /// The dealings with the cloud.
+    /// Queued calls to the cloud, and what its answers have shown.
     pub(crate) cloud: CloudState,
     /// When the last pass began. None if the next one is due at once.
     last_pass_at: Option<Time>,
 }
 
-/// What a pass reads.
+/// The state that a pass reads.
 pub(crate) struct ScalingInputs<'a> {
     pub(crate) config: &'a Config,
     pub(crate) catalog: &'a MachineCatalog,
     pub(crate) fleet: &'a Fleet,
     pub(crate) jobs: &'a JobTable,
-    /// Jobs of which tasks wait to be placed.
+    /// Jobs with pending tasks.
     pub(crate) waiting_jobs: &'a BTreeSet<JobIndex>,
-    /// Tells which tasks count as large.
+    /// Decides which tasks count as large.
     pub(crate) rule: PricingRule,
     pub(crate) now: Time,
 }
 
 impl ScalingInputs<'_> {
-    /// Jobs of which tasks wait to be placed.
     fn waiting_jobs(&self) -> impl Iterator<Item = &Job> {
         self.waiting_jobs.iter().map(|index| &self.jobs[index])
     }
 
-    /// Whether a task of a class counts as large on each type of machines that it may use.
+    /// Whether a task of a class counts as large on every machine type that the class may use.
     fn is_large(&self, class: &JobClass) -> bool {
         class.is_large(self.catalog, &self.rule)
     }
 
-    /// What a CPU costs on the cheapest machines that a job may use.
+    /// The lowest price per CPU among the machine types that a job may use. Infinite if it may use none.
     fn lowest_unit_price(&self, spec: &Submission) -> f64 {
         self.catalog
             .options(spec)
@@ -92,18 +91,19 @@
     }
 }
 
-/// What a pass has decided on.
+/// The decisions of a pass.
 pub(crate) struct ScalingPlan {
-    /// All machines, each with the work that it is kept for.
+    /// The machines, including those to be rented, each with the role for which it is needed, if any.
     pub(crate) units: Vec<CapacityUnit>,
-    /// Classes of large work that waits, in order: they may preempt what is on machines kept for them.
+    /// Classes with large pending tasks, in the order in which they are covered. They may preempt tasks on the machines
+    /// allocated to large tasks.
     pub(crate) preempting_classes: Vec<JobClass>,
-    /// Machines to be rented.
+    /// The machines to rent, by pool and role.
     rentals: RentalPlan,
 }
 
 impl Autoscaler {
-    /// Nothing seen but what this controller forecasts.
+    /// The autoscaler at the start of a term, with the forecast that this controller already has.
     pub(crate) fn new(forecast: Rc<RefCell<ArrivalForecast>>, now: Time) -> Self {
         Autoscaler {
             classes: JobClasses::default(),
@@ -113,24 +113,24 @@
         }
     }
 
-    /// The expected run time of a job's tasks, in seconds.
+    /// The expected run time of a job's tasks, in seconds. Also used for deadlines and the scheduling order.
     pub(crate) fn expected_run_s(&self, job: &Job) -> f64 {
         self.classes.expected_run_s(job)
     }
 
-    /// Records the arrival of a job. Large work may have to preempt others: the next pass is due at once.
+    /// Records the arrival of a job. The next pass is due at once, since large tasks may have to preempt others.
     pub(crate) fn record_arrival(&mut self, spec: &Rc<Submission>) {
         self.classes.record_arrival(spec);
         self.request_pass();
     }
 
-    /// Records the run time of a task, in seconds.
+    /// Records the observed run time of a task, in seconds.
     pub(crate) fn record_run_time(&mut self, class_key: &str, run_s: f64) {
         self.forecast.borrow_mut().record_run_time(class_key, run_s);
     }
 
-    /// Below which priority jobs may borrow machines of a type that are kept for large work: those that all such work
-    /// may preempt. None while large work waits for such machines.
+    /// The priority below which jobs may borrow machines of a type that are kept for large tasks, so that every class
+    /// with large tasks may preempt them. None while large tasks wait for such machines.
     pub(crate) fn borrowing_priority_limit(
         &self,
         type_index: usize,
@@ -143,12 +143,12 @@
             .borrowing_priority_limit(type_index, catalog, rule, jobs, waiting_jobs)
     }
 
-    /// The next pass is due at once.
+    /// Makes the next pass due at once.
     fn request_pass(&mut self) {
         self.last_pass_at = None;
     }
 
-    /// Whether a pass is due; if so, it is taken to begin now.
+    /// Returns whether a pass is due. If so, the caller must run it now: the next interval starts here.
     pub(crate) fn begin_pass_if_due(&mut self, heartbeat_interval_s: f64, now: Time) -> bool {
         let interval_s = (heartbeat_interval_s * PASS_INTERVAL_HEARTBEATS).min(PASS_INTERVAL_S_MAX);
         let due = self.last_pass_at.is_none_or(|at| now - at >= interval_s);
@@ -158,7 +158,7 @@
         due
     }
 
-    /// Decides which machines are needed, for which work, and what lacks.
+    /// Runs a pass: decides which machines are needed in which role, and which to rent.
     pub(crate) fn plan(&mut self, inputs: &ScalingInputs) -> ScalingPlan {
         self.classes.update(inputs, &self.forecast.borrow());
         let mut pass = ScalingPass::new(inputs, &self.cloud.pools);
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Queues the requests for what a plan rents, unless former ones still wait or the fleet is not known well enough.
+    /// Queues the rental requests of a plan, unless earlier ones have no answer yet or the fleet is not known well enough.
     pub(crate) fn rent(
         &mut self,
         plan: ScalingPlan,
--- a/src/autoscaler/arrival_forecast.rs
+++ b/src/autoscaler/arrival_forecast.rs
@@ -1,4 +1,5 @@
-//! Arrival rates and run times by class of jobs, as every controller observes them, so that a new leader knows them too.
+//! Forecast of arrival rates and run times by class of jobs. Every controller keeps one, so that a new leader has it from
+//! the start of its term.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -8,52 +9,54 @@
 use crate::protocol::users::Submission;
 use crate::runtime::Time;
 
-/// Arrival rates and run times, by class.
+/// Arrival rates and run times, by class key.
 ///
-/// Arrivals are counted in intervals of equal length over a sliding window. A burst at one moment, as at a start or
-/// after an outage, says little about the next minutes: what is far above the usual of an interval is not counted.
+/// Arrivals are counted in intervals of equal length over a sliding window. An arrival burst, as at a cluster start or
+/// after an outage, doesn't predict the rate of the next minutes: arrivals far above the median of the intervals are not
+/// counted.
 #[derive(Debug)]
 pub struct ArrivalForecast {
-    /// Length of an interval, in seconds.
+    /// The length of an interval, in seconds.
     interval_s: f64,
-    /// Length of the window, in intervals.
+    /// The length of the window, in intervals.
     window_intervals: u64,
     /// When this controller began to observe arrivals.
     observed_since: Time,
     /// Intervals of the window with arrivals, the oldest first.
     arrivals: HashMap<String, VecDeque<IntervalArrivals>>,
-    /// Run times of tasks in seconds: observed by the leader, sent to the other controllers.
+    /// Run times of tasks, in seconds. The leader observes them and sends them to the other controllers.
     run_times: HashMap<String, DecayingMean>,
-    /// Tasks of a job.
+    /// The number of tasks per job.
     tasks_per_job: HashMap<String, DecayingMean>,
 }
 
-/// The jobs that arrived in one interval.
+/// The number of jobs that arrived in one interval.
 #[derive(Debug, Clone, Copy)]
 struct IntervalArrivals {
-    /// Number of the interval, counted from moment 0.
+    /// The number of the interval, counted from time 0.
     interval: u64,
     jobs: u32,
 }
 
-/// Jobs of a class that its means are made of: about so many of the last.
+/// The approximate number of recent jobs that the mean of a class covers.
 pub const MEAN_JOBS: f64 = 40.0;
-/// Classes of which run times are sent to other controllers, at most.
+/// The maximum number of classes whose run times are sent to other controllers.
 const SENT_CLASSES_MAX: usize = 64;
-/// Arrivals of one interval that are counted, at most: so many jobs, and `BURST_MEDIAN_RATIO` times the median of the
-/// intervals.
+/// Arrivals in one interval are counted up to this many jobs plus `BURST_MEDIAN_RATIO` times the median of the intervals.
+/// Arrivals above that are an arrival burst.
 const BURST_JOBS: u32 = 3;
 /// See [`BURST_JOBS`].
 const BURST_MEDIAN_RATIO: u32 = 2;
-/// The last intervals alone show that arrivals have ended or become more frequent: the window divided by this.
+/// The recent intervals, which show early that arrivals have ended or become more frequent, are the window divided by
+/// this.
 const RECENT_WINDOW_DIVISOR: u64 = 8;
-/// Rates are known once the window divided by this was observed.
+/// Rates are reliable once the window divided by this has been observed.
 const YOUNG_WINDOW_DIVISOR: u64 = 4;
-/// How far the rate over the whole window may be from that of the recent intervals, in standard deviations.
+/// The maximum difference between the rate over the window and that of the recent intervals, in standard deviations.
 const RATE_DEVIATIONS_MAX: f64 = 2.5;
 
 impl ArrivalForecast {
-    /// Counts arrivals in intervals of `interval_s` over the last `window_s`.
+    /// An empty forecast that counts arrivals in intervals of `interval_s` over the last `window_s`.
     pub fn new(interval_s: f64, window_s: f64, now: Time) -> Self {
         ArrivalForecast {
             interval_s,
@@ -69,26 +72,26 @@
         (now.max(0.0) / self.interval_s) as u64
     }
 
-    /// Records the arrival of a job.
+    /// Counts the arrival of a job, and forgets the intervals of its class that have left the window.
     pub fn record_arrival(&mut self, spec: &Submission, now: Time) {
         let interval = self.interval_at(now);
         let window = self.window_intervals;
         let tasks = self.tasks_per_job.entry(class_key(spec)).or_default();
         tasks.add(f64::from(spec.tasks), MEAN_JOBS);
-        let observed = self.arrivals.entry(class_key(spec)).or_default();
-        match observed.back_mut() {
+        let arrivals = self.arrivals.entry(class_key(spec)).or_default();
+        match arrivals.back_mut() {
             Some(last) if last.interval == interval => last.jobs += 1,
-            _ => observed.push_back(IntervalArrivals { interval, jobs: 1 }),
+            _ => arrivals.push_back(IntervalArrivals { interval, jobs: 1 }),
         }
-        while observed
+        while arrivals
             .front()
             .is_some_and(|first| first.interval + window <= interval)
         {
-            observed.pop_front();
+            arrivals.pop_front();
         }
     }
 
-    /// Records the run time of a task, in seconds.
+    /// Adds the run time of a task to the mean of its class. The mean covers the tasks of about [`MEAN_JOBS`] jobs.
     pub fn record_run_time(&mut self, class_key: &str, run_s: f64) {
         let tasks_per_job = self.tasks_per_job.get(class_key);
         let tasks_per_job = tasks_per_job.and_then(DecayingMean::get).unwrap_or(1.0);
@@ -96,12 +99,12 @@
         run_times.add(run_s, MEAN_JOBS * tasks_per_job);
     }
 
-    /// The mean run time of a class's tasks, in seconds.
+    /// The mean run time of the tasks of a class, in seconds. It has no samples if no run time is known.
     pub fn run_time(&self, class_key: &str) -> DecayingMean {
         self.run_times.get(class_key).copied().unwrap_or_default()
     }
 
-    /// The run times to send to other controllers, by class key.
+    /// The run times to send to other controllers: the first [`SENT_CLASSES_MAX`] classes in the order of their keys.
     pub fn runs(&self) -> Vec<(String, DecayingMean)> {
         let mut run_times: Vec<_> = self
             .run_times
@@ -113,51 +116,51 @@
         run_times
     }
 
-    /// Adopts the run times of another controller where these are made of more samples.
+    /// Adopts the run times that another controller sent, for each class where they are based on more samples.
     pub fn learn(&mut self, run_times: &[(String, DecayingMean)]) {
-        for (class_key, mean) in run_times {
+        for (class_key, received) in run_times {
             let own = self.run_times.entry(class_key.clone()).or_default();
-            if mean.is_valid() && mean.samples > own.samples {
-                *own = *mean;
+            if received.is_valid() && received.samples > own.samples {
+                *own = *received;
             }
         }
     }
 
-    /// Whether too little was observed for rates to be known.
+    /// Whether arrivals have been observed for too short a time for reliable rates.
     pub fn is_young(&self, now: Time) -> bool {
         self.interval_at(now) - self.interval_at(self.observed_since)
             < self.window_intervals / YOUNG_WINDOW_DIVISOR
     }
 
-    /// Expected arrivals of a class, in jobs per second: those of the whole window, within what those of the recent
-    /// intervals allow.
-    pub fn rate(&self, class_key: &str, now: Time) -> f64 {
-        let Some(counts) = self.counts(class_key, now) else {
+    /// The expected arrival rate of a class, in jobs per second: that of the whole window, bounded by the confidence
+    /// interval around the rate of the recent intervals.
+    pub fn expected_rate(&self, class_key: &str, now: Time) -> f64 {
+        let Some(counts) = self.arrival_counts(class_key, now) else {
             return 0.0;
         };
         let recent = counts.recent_jobs;
-        let spread = RATE_DEVIATIONS_MAX * recent.sqrt();
+        let deviation = RATE_DEVIATIONS_MAX * recent.sqrt();
         let recent_s = counts.recent_intervals as f64 * self.interval_s;
         (counts.jobs / (counts.intervals as f64 * self.interval_s))
-            .min((recent + spread + RATE_DEVIATIONS_MAX) / recent_s)
-            .max((recent - spread) / recent_s)
+            .min((recent + deviation + RATE_DEVIATIONS_MAX) / recent_s)
+            .max((recent - deviation) / recent_s)
     }
 
-    /// Arrivals of a class in the recent intervals, in jobs per second.
+    /// The arrival rate of a class in the recent intervals, in jobs per second.
     pub fn recent_rate(&self, class_key: &str, now: Time) -> f64 {
-        let counts = self.counts(class_key, now);
+        let counts = self.arrival_counts(class_key, now);
         counts.map_or(0.0, |c| {
             c.recent_jobs / (c.recent_intervals as f64 * self.interval_s)
         })
     }
 
-    fn counts(&self, class_key: &str, now: Time) -> Option<ArrivalCounts> {
+    fn arrival_counts(&self, class_key: &str, now: Time) -> Option<ArrivalCounts> {
         let arrivals = self.arrivals.get(class_key)?;
         let interval = self.interval_at(now);
-        let observed =
+        let observed_intervals =
             (interval - self.interval_at(self.observed_since) + 1).min(self.window_intervals);
-        // A part of the window is observed before much is concluded.
-        let intervals = observed
+        // A short observation is treated as a longer one, so that a few early arrivals don't give a high rate.
+        let intervals = observed_intervals
             .max(self.window_intervals / YOUNG_WINDOW_DIVISOR)
             .max(1);
         let mut jobs: Vec<u32> = arrivals
@@ -165,11 +168,11 @@
             .filter(|a| a.interval + self.window_intervals > interval)
             .map(|a| a.jobs)
             .collect();
-        // Intervals without arrivals count for the median.
+        // The median includes intervals without arrivals.
         jobs.resize(jobs.len().max(intervals as usize), 0);
         jobs.sort_unstable();
-        let most = BURST_JOBS + BURST_MEDIAN_RATIO * jobs[jobs.len() / 2];
-        let counted = |n: u32| f64::from(n.min(most));
+        let jobs_max = BURST_JOBS + BURST_MEDIAN_RATIO * jobs[jobs.len() / 2];
+        let counted = |jobs: u32| f64::from(jobs.min(jobs_max));
         let recent_intervals = (self.window_intervals / RECENT_WINDOW_DIVISOR).max(1);
         let recent = arrivals
             .iter()
@@ -183,46 +186,47 @@
     }
 }
 
-/// Arrivals of a class, bursts cut off.
+/// Arrivals of a class, without arrival bursts.
 struct ArrivalCounts {
-    /// Jobs within the window.
+    /// The number of jobs in the window.
     jobs: f64,
-    /// Length of the window as far as observed, in intervals.
+    /// The length of the observed part of the window, in intervals; at least the window divided by
+    /// [`YOUNG_WINDOW_DIVISOR`].
     intervals: u64,
-    /// Jobs in the recent intervals.
+    /// The number of jobs in the recent intervals.
     recent_jobs: f64,
-    /// How many intervals count as recent.
+    /// The number of intervals that count as recent.
     recent_intervals: u64,
 }
 
-/// A mean that is arithmetic at first and exponentially decaying later.
+/// A running mean: arithmetic for the first samples, then exponentially decaying.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct DecayingMean {
     #[serde(rename = "value")]
     value: f64,
-    /// How many values the mean is made of, up to those kept.
+    /// The number of samples added, up to the maximum that [`DecayingMean::add`] is given.
     #[serde(rename = "seen")]
     samples: f64,
 }
 
 impl DecayingMean {
-    /// Adds a value; about the last `kept` of them count.
-    pub fn add(&mut self, value: f64, kept: f64) {
-        self.samples = (self.samples + 1.0).min(kept);
+    /// Adds a sample. The mean covers about the last `samples_max` samples.
+    pub fn add(&mut self, value: f64, samples_max: f64) {
+        self.samples = (self.samples + 1.0).min(samples_max);
         self.value += (value - self.value) / self.samples;
     }
 
-    /// The mean, if there is any value.
+    /// The mean. None without samples.
     pub fn get(&self) -> Option<f64> {
         (self.samples > 0.0).then_some(self.value)
     }
 
-    /// This mean and that of a prior, which counts for as much as `weight` values.
+    /// The weighted mean of this one and a prior, which weighs as much as `weight` samples.
     pub fn with_prior(&self, prior: f64, weight: f64) -> f64 {
         (self.value * self.samples + prior * weight) / (self.samples + weight)
     }
 
-    /// Whether another controller may have sent this.
+    /// Whether a mean received from another controller is usable: finite and not negative.
     fn is_valid(&self) -> bool {
         self.value.is_finite() && self.samples.is_finite() && self.value >= 0.0
     }
--- a/src/autoscaler/arrival_forecast/tests.rs
+++ b/src/autoscaler/arrival_forecast/tests.rs
@@ -3,41 +3,43 @@
 use super::*;
 use crate::test_support::job;
 
+/// Guards against machines rented for an arrival burst as if it went on, and against rates that outlive the arrivals.
+/// 50 jobs at the same moment hardly raise the rate, a steady rate is found, and it falls once arrivals have ended.
 #[test]
-fn a_crowd_counts_once_and_rates_fade() {
-    let mut expected = ArrivalForecast::new(3.0, 120.0, 0.0);
+fn burst_hardly_raises_rate_and_rate_decays() {
+    let mut forecast = ArrivalForecast::new(3.0, 120.0, 0.0);
     let spec = job("j-1", 1);
     let class = class_key(&spec);
     for _ in 0..50 {
-        expected.record_arrival(&spec, 0.5);
+        forecast.record_arrival(&spec, 0.5);
     }
-    let crowd = expected.rate(&class, 1.0);
-    assert!(crowd < 0.11, "{crowd}");
+    let rate_after_burst = forecast.expected_rate(&class, 1.0);
+    assert!(rate_after_burst < 0.11, "{rate_after_burst}");
     for i in 1..40 {
-        expected.record_arrival(&spec, f64::from(i) * 10.0);
+        forecast.record_arrival(&spec, f64::from(i) * 10.0);
     }
-    let steady = expected.rate(&class, 395.0);
+    let steady = forecast.expected_rate(&class, 395.0);
     assert!((0.08..0.13).contains(&steady), "{steady}");
-    // They have ended: soon there is little left of the rate, and then nothing.
-    assert!(expected.rate(&class, 450.0) < steady);
-    assert!(expected.rate(&class, 600.0) <= 0.13);
+    // The arrivals have ended: the rate falls.
+    assert!(forecast.expected_rate(&class, 450.0) < steady);
+    assert!(forecast.expected_rate(&class, 600.0) <= 0.13);
 }
 
-/// Where several jobs of a class come in each interval, most of them once counted as a crowd,
-/// and the machines for them were never enough.
+/// Guards against a bound on arrivals per interval that ignores their usual number: where several jobs of a class arrive
+/// in each interval, most would not be counted, and too few machines would be rented.
 #[test]
-fn frequent_arrivals_are_no_crowd() {
-    let mut expected = ArrivalForecast::new(3.0, 150.0, 0.0);
+fn frequent_arrivals_are_not_a_burst() {
+    let mut forecast = ArrivalForecast::new(3.0, 150.0, 0.0);
     let spec = job("j-1", 1);
     let class = class_key(&spec);
     let mut now = 0.0;
     while now < 200.0 {
         now += 0.25;
-        expected.record_arrival(&spec, now);
+        forecast.record_arrival(&spec, now);
     }
-    let rate = expected.rate(&class, now);
+    let rate = forecast.expected_rate(&class, now);
     assert!((3.5..4.2).contains(&rate), "{rate}");
-    // Nothing for some intervals: they have ended.
-    let later = expected.rate(&class, now + 30.0);
-    assert!(later < 0.2, "{later}");
+    // After some intervals without arrivals the rate is nearly zero.
+    let rate_after_end = forecast.expected_rate(&class, now + 30.0);
+    assert!(rate_after_end < 0.2, "{rate_after_end}");
 }
--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -167,7 +167,7 @@
             .map(|o| self.catalog[o.type_index].boot_s)
             .fold(f64::INFINITY, f64::min);
         let run_s = class.expected_run_s();
-        let jobs_per_s = forecast.rate(&class_key(&class.spec), self.now);
+        let jobs_per_s = forecast.expected_rate(&class_key(&class.spec), self.now);
         let tasks_per_s = jobs_per_s * class.tasks_per_job();
         let mut concurrent_tasks = tasks_per_s * run_s;
         if forecast.is_young(self.now) {
