--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -161,7 +161,7 @@
     /// Runs a pass: decides which machines are needed in which role, and which to rent.
     pub(crate) fn plan(&mut self, inputs: &ScalingInputs) -> ScalingPlan {
         self.classes.update(inputs, &self.forecast.borrow());
-        let mut pass = ScalingPass::new(inputs, &self.cloud.pools);
+        let mut pass = ScalingPass::new(inputs, &self.cloud.pool_backoffs);
         pass.cover_exceptions(&mut self.classes);
         let classes = self.classes.in_scaling_order(inputs);
         for class in &classes {
@@ -186,7 +186,8 @@
         }
     }
 
-    /// Queues the rental requests of a plan, unless earlier ones have no answer yet or the fleet is not known well enough.
+    /// Queues the rental requests of a plan, unless earlier ones have no answer yet or the fleet is not known well
+    /// enough.
     pub(crate) fn rent(
         &mut self,
         plan: ScalingPlan,
--- a/src/autoscaler/arrival_forecast.rs
+++ b/src/autoscaler/arrival_forecast.rs
@@ -1,5 +1,5 @@
-//! Forecast of arrival rates and run times by class of jobs. Every controller keeps one, so that a new leader has it from
-//! the start of its term.
+//! Forecast of arrival rates and run times by class of jobs. Every controller keeps one, so that a new leader has it
+//! from the start of its term.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,8 +12,8 @@
 /// Arrival rates and run times, by class key.
 ///
 /// Arrivals are counted in intervals of equal length over a sliding window. An arrival burst, as at a cluster start or
-/// after an outage, doesn't predict the rate of the next minutes: arrivals far above the median of the intervals are not
-/// counted.
+/// after an outage, doesn't predict the rate of the next minutes: arrivals far above the median of the intervals are
+/// not counted.
 #[derive(Debug)]
 pub struct ArrivalForecast {
     /// The length of an interval, in seconds.
@@ -42,8 +42,8 @@
 pub const MEAN_JOBS: f64 = 40.0;
 /// The maximum number of classes whose run times are sent to other controllers.
 const SENT_CLASSES_MAX: usize = 64;
-/// Arrivals in one interval are counted up to this many jobs plus `BURST_MEDIAN_RATIO` times the median of the intervals.
-/// Arrivals above that are an arrival burst.
+/// Arrivals in one interval are counted up to this many jobs plus `BURST_MEDIAN_RATIO` times the median of the
+/// intervals. Arrivals above that are an arrival burst.
 const BURST_JOBS: u32 = 3;
 /// See [`BURST_JOBS`].
 const BURST_MEDIAN_RATIO: u32 = 2;
@@ -149,8 +149,8 @@
     /// The arrival rate of a class in the recent intervals, in jobs per second.
     pub fn recent_rate(&self, class_key: &str, now: Time) -> f64 {
         let counts = self.arrival_counts(class_key, now);
-        counts.map_or(0.0, |c| {
-            c.recent_jobs / (c.recent_intervals as f64 * self.interval_s)
+        counts.map_or(0.0, |counts| {
+            counts.recent_jobs / (counts.recent_intervals as f64 * self.interval_s)
         })
     }
 
@@ -226,7 +226,8 @@
         (self.value * self.samples + prior * weight) / (self.samples + weight)
     }
 
-    /// Whether a mean received from another controller is usable: finite and not negative.
+    /// Whether a mean received from another controller is usable: both numbers are finite, and the mean is not
+    /// negative.
     fn is_valid(&self) -> bool {
         self.value.is_finite() && self.samples.is_finite() && self.value >= 0.0
     }
--- a/src/autoscaler/arrival_forecast/tests.rs
+++ b/src/autoscaler/arrival_forecast/tests.rs
@@ -25,8 +25,8 @@
     assert!(forecast.expected_rate(&class, 600.0) <= 0.13);
 }
 
-/// Guards against a bound on arrivals per interval that ignores their usual number: where several jobs of a class arrive
-/// in each interval, most would not be counted, and too few machines would be rented.
+/// Guards against a bound on arrivals per interval that ignores their usual number: where several jobs of a class
+/// arrive in each interval, most would not be counted, and too few machines would be rented.
 #[test]
 fn frequent_arrivals_are_not_a_burst() {
     let mut forecast = ArrivalForecast::new(3.0, 150.0, 0.0);
--- a/src/autoscaler/cloud.rs
+++ b/src/autoscaler/cloud.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use super::MACHINES_PER_RENT_MAX;
-use super::pools::{Pool, PoolKey, RentalPlan, pool_counts};
+use super::pools::{PoolBackoff, PoolKey, RentalPlan, pool_counts};
 use crate::config::{Config, Deployment};
 use crate::fleet::machine_catalog::MachineCatalog;
 use crate::fleet::{Fleet, MachineRole};
@@ -72,8 +72,8 @@
 /// The leader's view of the cloud: queued calls, exhausted pools and returned machines.
 #[derive(Debug)]
 pub struct CloudState {
-    /// Pools that have refused machines in this term.
-    pub(super) pools: BTreeMap<PoolKey, Pool>,
+    /// The backoffs of the pools that have refused machines in this term.
+    pub(super) pool_backoffs: BTreeMap<PoolKey, PoolBackoff>,
     /// The number of the last rental request. Names of requests are never reused.
     last_request_number: u64,
     /// Rental requests without an answer. The first one may have been sent already.
@@ -95,7 +95,7 @@
     /// The state at the start of a term: the list and the types are read at once.
     pub(super) fn new(now: Time) -> Self {
         CloudState {
-            pools: BTreeMap::new(),
+            pool_backoffs: BTreeMap::new(),
             last_request_number: 0,
             queued_rentals: VecDeque::new(),
             queued_returns: Vec::new(),
@@ -161,8 +161,8 @@
         self.queued_returns.retain(|queued| *queued != index);
     }
 
-    /// Records that the cloud has confirmed a machine's return. Names are forgotten one by one, the oldest first: if all
-    /// were forgotten at once, a late heartbeat could add a machine to the fleet that was returned just before.
+    /// Records that the cloud has confirmed a machine's return. Names are forgotten one by one, the oldest first: if
+    /// all were forgotten at once, a late heartbeat could add a machine to the fleet that was returned just before.
     pub(crate) fn record_returned(&mut self, name: Rc<str>) {
         if self.returned_names.insert(name.clone()) {
             self.returned_names_in_order.push_back(name);
@@ -239,14 +239,14 @@
         });
         let boot_s = catalog[pool.type_index].boot_s;
         let machine_count = pool_counts(fleet).get(&pool).copied().unwrap_or(0);
-        let pool = self.pools.entry(pool).or_default();
-        pool.record_refusal(boot_s, machine_count, now);
+        let backoff = self.pool_backoffs.entry(pool).or_default();
+        backoff.record_refusal(boot_s, machine_count, now);
     }
 
     /// Records that a pool served a request in full.
     pub(super) fn record_success(&mut self, pool: &PoolKey) {
-        if let Some(pool) = self.pools.get_mut(pool) {
-            pool.record_success();
+        if let Some(backoff) = self.pool_backoffs.get_mut(pool) {
+            backoff.record_success();
         }
     }
 
@@ -273,8 +273,8 @@
         }
     }
 
-    /// Whether this leader knows the fleet well enough to rent machines. A new leader that doesn't wait for the workers'
-    /// heartbeats takes the fleet for missing and rents a second one.
+    /// Whether this leader knows the fleet well enough to rent machines. A new leader that doesn't wait for the
+    /// workers' heartbeats counts the machines as missing and rents a second fleet.
     pub(super) fn is_fleet_known(
         &self,
         config: &Config,
@@ -300,8 +300,8 @@
     let machines = fleet.machines.values();
     let running = machines
         .filter(|m| m.last_contact_at.or(m.running_since).is_some() && !fleet.is_partitioned(m));
-    let (contacted, total) = running.fold((0, 0), |(contacted, total), m| {
-        (contacted + usize::from(m.is_up()), total + 1)
+    let (contacted, total) = running.fold((0, 0), |(contacted, total), machine| {
+        (contacted + usize::from(machine.is_up()), total + 1)
     });
     total > 0 && contacted as f64 >= total as f64 * CONTACTED_SHARE_MIN
 }
--- a/src/autoscaler/coverage.rs
+++ b/src/autoscaler/coverage.rs
@@ -6,7 +6,7 @@
 use super::capacity_units::CapacityUnit;
 use super::demand::Demand;
 use super::job_classes::JobClass;
-use super::pools::{Pool, PoolKey, RentalPlan, pool_counts};
+use super::pools::{PoolBackoff, PoolKey, RentalPlan, pool_counts};
 use crate::fleet::MachineRole;
 use crate::fleet::machine_catalog::MachineOption;
 use crate::resources::tasks_that_fit;
@@ -58,8 +58,9 @@
     }
 
     /// The round in which a class may use a machine. Machines that run tasks of the same size (large or small) come
-    /// first, then empty ones, then, for large tasks, machines on which they would preempt small tasks. Small tasks
-    /// may also use a machine with a large task, in the round of empty machines, if its used share is not large.
+    /// first, then empty ones, then, for large tasks, machines on which they would preempt small tasks. Small tasks may
+    /// also use a machine with a large task, in the round of empty machines, if its used share is at most
+    /// `large_share`.
     fn allocation_round(
         &self,
         class: &JobClass,
@@ -86,8 +87,8 @@
 /// The state of one scaling pass over all machines and classes.
 pub(super) struct ScalingPass<'a> {
     pub(super) inputs: &'a ScalingInputs<'a>,
-    /// The pools that have refused machines.
-    pub(super) pools: &'a BTreeMap<PoolKey, Pool>,
+    /// The backoffs of the pools that have refused machines.
+    pub(super) pool_backoffs: &'a BTreeMap<PoolKey, PoolBackoff>,
     /// The number of machines in each pool, without those to be rented.
     pub(super) pool_counts: BTreeMap<PoolKey, u32>,
     /// The machines, in the order in which they are allocated; those to be rented come last.
@@ -98,10 +99,13 @@
 
 impl<'a> ScalingPass<'a> {
     /// A pass in which no machine is allocated yet.
-    pub(super) fn new(inputs: &'a ScalingInputs<'a>, pools: &'a BTreeMap<PoolKey, Pool>) -> Self {
+    pub(super) fn new(
+        inputs: &'a ScalingInputs<'a>,
+        pool_backoffs: &'a BTreeMap<PoolKey, PoolBackoff>,
+    ) -> Self {
         ScalingPass {
             inputs,
-            pools,
+            pool_backoffs,
             pool_counts: pool_counts(inputs.fleet),
             units: inputs.capacity_units(),
             rentals: RentalPlan::new(),
--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -59,7 +59,7 @@
 
     /// Rounds the demand to whole tasks and bounds the demand at any price. The lower bound is one task while any is
     /// unfinished: even a small backlog must run at some time. The upper bound is the demand at a low price: without
-    /// it, the burst of jobs at a cluster start asks for three times as many machines.
+    /// it, an arrival burst at a cluster start demands three times as many machines.
     fn bounded(self, unfinished_tasks: f64) -> Self {
         let bounded = |tasks: f64| {
             tasks
@@ -116,8 +116,8 @@
 
 impl ScalingInputs<'_> {
     /// The strictest completion target of a class, counted from when its jobs become ready, in seconds. None if no
-    /// objective sets one. Deadlines grow with the run time, so a deadline counts without the run time: only the rest of
-    /// it is available for waiting.
+    /// objective sets one. Deadlines grow with the run time, so a deadline counts without the run time: only the rest
+    /// of it is available for waiting.
     fn strictest_completion_target_s(&self, class: &JobClass) -> Option<f64> {
         let run_s = class.expected_run_s();
         let mut average_spec = (*class.spec).clone();
@@ -125,9 +125,9 @@
         let objectives = &self.config.deployment.objectives;
         objectives
             .iter()
-            .filter_map(|o| {
-                let target_s = o.completion_target_s(&average_spec)?;
-                Some(match o.kind {
+            .filter_map(|objective| {
+                let target_s = objective.completion_target_s(&average_spec)?;
+                Some(match objective.kind {
                     ObjectiveKind::Deadline => {
                         (target_s - run_s).max(run_s * DEADLINE_SLACK_RUN_SHARE_MIN)
                     }
@@ -263,10 +263,10 @@
             .machines
             .values()
             .filter(|m| !m.terminating && !m.quarantined && m.preemption_at.is_none())
-            .filter(|m| {
-                m.type_index.is_some_and(|t| {
-                    tasks_that_fit(class.task_resources, self.catalog.capacity(t)) >= 1.0
-                        && self.catalog.unit_price(t, m.spot) <= low_price_limit
+            .filter(|machine| {
+                machine.type_index.is_some_and(|type_index| {
+                    tasks_that_fit(class.task_resources, self.catalog.capacity(type_index)) >= 1.0
+                        && self.catalog.unit_price(type_index, machine.spot) <= low_price_limit
                 })
             })
             .count() as f64;
--- a/src/autoscaler/exceptions.rs
+++ b/src/autoscaler/exceptions.rs
@@ -1,5 +1,5 @@
-//! Exceptions: tasks whose machines can't be derived from the averages of their class, and which are covered separately.
-//! These are outliers, and steps of chains with a deadline.
+//! Exceptions: tasks whose machines can't be derived from the averages of their class, and which are covered
+//! separately. These are outliers, and steps of chains with a deadline.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -79,9 +79,9 @@
                     zone: zone.as_str().into(),
                 };
                 let is_available = !self
-                    .pools
+                    .pool_backoffs
                     .get(&pool)
-                    .is_some_and(|pool| pool.is_exhausted(self.inputs.now));
+                    .is_some_and(|backoff| backoff.is_exhausted(self.inputs.now));
                 *capacity.entry(zone).or_default() +=
                     f64::from(u8::from(is_available)) * AVAILABLE_POOL_TASKS;
             }
@@ -138,8 +138,8 @@
 
     /// Jobs that have waited for long without starting a task, and whose requirements the averages of their class don't
     /// show: tasks that are larger than average, gangs that must run in a single zone although their class may use
-    /// several, and gangs that must be spread over zones. By the averages there is capacity for such a job all the time,
-    /// so nothing is rented for it and it never starts.
+    /// several, and gangs that must be spread over zones. By the averages there is capacity for such a job all the
+    /// time, so nothing is rented for it and it never starts.
     fn outliers(&self, classes: &JobClasses, pass: &ScalingPass) -> Vec<ClassException> {
         let has_waited_too_long = |job: &&Job| {
             let has_started = job.assigned_tasks + job.done_tasks > 0;
--- a/src/autoscaler/job_classes.rs
+++ b/src/autoscaler/job_classes.rs
@@ -42,7 +42,7 @@
 /// A class of jobs: all may use the same machines. The averages describe recent jobs of the class.
 #[derive(Debug, Clone)]
 pub struct JobClass {
-    /// The first job of the class in this term. Read only for what the jobs of the class have in common.
+    /// The first job of the class in this term. It represents the class in what the jobs have in common.
     pub(crate) spec: Rc<Submission>,
     /// The mean demand of a task.
     pub(super) task_resources: Resources,
--- a/src/autoscaler/pools.rs
+++ b/src/autoscaler/pools.rs
@@ -46,9 +46,9 @@
 /// The number of machines to rent, by pool and role.
 pub(super) type RentalPlan = BTreeMap<RentalKey, u32>;
 
-/// A pool that has refused machines.
+/// The backoff of a pool that has refused machines.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Pool {
+pub(super) struct PoolBackoff {
     /// When the backoff ends. Until then requests only replace machines that were lost since the refusal.
     backoff_until: Time,
     /// The duration of the last backoff in seconds. None once a request is served in full.
@@ -57,9 +57,9 @@
     machines_at_refusal: u32,
 }
 
-impl Pool {
-    /// Records that the pool refused machines, and doubles the backoff within its bounds. Without a boot time there is no
-    /// backoff.
+impl PoolBackoff {
+    /// Records that the pool refused machines, and doubles the backoff within its bounds. Without a boot time there is
+    /// no backoff.
     pub(super) fn record_refusal(&mut self, boot_s: f64, machine_count: u32, now: Time) {
         let backoff_s = self
             .backoff_s
--- a/src/autoscaler/rentals.rs
+++ b/src/autoscaler/rentals.rs
@@ -192,9 +192,9 @@
             .sum();
         let machine_count = self.pool_counts.get(&pool).copied().unwrap_or(0) + planned;
         let rental_limit = self
-            .pools
+            .pool_backoffs
             .get(&pool)
-            .and_then(|state| state.rental_limit(machine_count, planned, self.inputs.now));
+            .and_then(|backoff| backoff.rental_limit(machine_count, planned, self.inputs.now));
         PoolOffer {
             pool,
             cost,
--- a/src/autoscaler/surplus.rs
+++ b/src/autoscaler/surplus.rs
@@ -5,7 +5,7 @@
 use crate::fleet::Machine;
 use crate::jobs::MachineIndex;
 
-/// The tasks of surplus machines are evicted if they fit into this share of the free CPUs of the needed machines.
+/// The tasks of surplus machines are evicted if they fit into this share of the free CPUs of needed machines.
 const EVICTION_CAPACITY_SHARE: f64 = 0.5;
 /// The cloud's minimum charge for a machine, in seconds.
 const MINIMUM_CHARGE_S: f64 = 60.0;
@@ -65,7 +65,7 @@
         plan
     }
 
-    /// The free CPUs on the needed machines that are up and run small tasks.
+    /// The free CPUs on the machines that are up and needed for small tasks.
     fn free_cpus_on_needed_machines(&self, units: &[CapacityUnit]) -> f64 {
         let needed = units
             .iter()
