--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -2,7 +2,8 @@
 //!
 //! Each pass estimates the demand of each class of jobs ([`demand`]), allocates the existing machines to the classes
 //! ([`coverage`]), plans rentals for the uncovered demand from pools that are not exhausted ([`rentals`]), and selects
-//! surplus machines to drain or return ([`surplus`]). The autoscaler decides, `leader::scaling` carries it out.
+//! surplus machines to drain or return ([`surplus`]). The autoscaler only decides; `leader::scaling` carries out its
+//! decisions.
 
 pub(crate) mod arrival_forecast;
 mod capacity_units;
@@ -113,7 +114,8 @@
         }
     }
 
-    /// The expected run time of a job's tasks, in seconds. Also used for deadlines and the scheduling order.
+    /// The expected run time of a job's tasks, in seconds. The leader and the scheduler use it too, for example for
+    /// deadlines and the scheduling order.
     pub(crate) fn expected_run_s(&self, job: &Job) -> f64 {
         self.classes.expected_run_s(job)
     }
@@ -129,8 +131,9 @@
         self.forecast.borrow_mut().record_run_time(class_key, run_s);
     }
 
-    /// The priority below which jobs may borrow machines of a type that are kept for large tasks, so that every class
-    /// with large tasks may preempt them. None while large tasks wait for such machines.
+    /// The priority below which jobs may borrow those machines of a type that are kept for large tasks: every class
+    /// with large tasks may preempt the borrowers. None if no job may borrow, because large tasks wait for such
+    /// machines or no class has large tasks.
     pub(crate) fn borrowing_priority_limit(
         &self,
         type_index: usize,
--- a/src/autoscaler/arrival_forecast.rs
+++ b/src/autoscaler/arrival_forecast.rs
@@ -38,7 +38,7 @@
     jobs: u32,
 }
 
-/// The approximate number of recent jobs that the mean of a class covers.
+/// The approximate number of recent jobs that each mean of a class covers.
 pub const MEAN_JOBS: f64 = 40.0;
 /// The maximum number of classes whose run times are sent to other controllers.
 const SENT_CLASSES_MAX: usize = 64;
@@ -47,10 +47,10 @@
 const BURST_JOBS: u32 = 3;
 /// See [`BURST_JOBS`].
 const BURST_MEDIAN_RATIO: u32 = 2;
-/// The recent intervals, which show early that arrivals have ended or become more frequent, are the window divided by
-/// this.
+/// The number of recent intervals is that of the window divided by this. Their rate shows early that arrivals have
+/// ended or become more frequent.
 const RECENT_WINDOW_DIVISOR: u64 = 8;
-/// Rates are reliable once the window divided by this has been observed.
+/// Rates are reliable once arrivals have been observed for the length of the window divided by this.
 const YOUNG_WINDOW_DIVISOR: u64 = 4;
 /// The maximum difference between the rate over the window and that of the recent intervals, in standard deviations.
 const RATE_DEVIATIONS_MAX: f64 = 2.5;
--- a/src/autoscaler/arrival_forecast/tests.rs
+++ b/src/autoscaler/arrival_forecast/tests.rs
@@ -4,7 +4,8 @@
 use crate::test_support::job;
 
 /// Guards against machines rented for an arrival burst as if it went on, and against rates that outlive the arrivals.
-/// 50 jobs at the same moment hardly raise the rate, a steady rate is found, and it falls once arrivals have ended.
+/// 50 jobs at the same moment must hardly raise the rate; a steady rate must be recognized, and must fall once arrivals
+/// have ended.
 #[test]
 fn burst_hardly_raises_rate_and_rate_decays() {
     let mut forecast = ArrivalForecast::new(3.0, 120.0, 0.0);
--- a/src/autoscaler/capacity_units.rs
+++ b/src/autoscaler/capacity_units.rs
@@ -20,7 +20,7 @@
     /// The capacity that this pass has not allocated yet. At the start of a pass that is the whole machine, whatever
     /// runs on it.
     pub(super) free: Resources,
-    /// The price per CPU.
+    /// The price per CPU and hour.
     pub(super) unit_price: f64,
     /// The dominant share of the resources that are in use now.
     pub(super) used_share: f64,
@@ -67,7 +67,8 @@
         units
     }
 
-    /// The capacity unit of a machine. None if the machine's type is unknown or its boot is too late to count on it.
+    /// The capacity unit of a machine. None if the machine's type is unknown, or if it has been booting for too long to
+    /// count as capacity, see [`Tunables::late_boots`](crate::config::Tunables::late_boots).
     fn capacity_unit(&self, index: MachineIndex, machine: &Machine) -> Option<CapacityUnit> {
         let tunables = &self.config.tunables;
         let type_index = machine.type_index?;
--- a/src/autoscaler/cloud.rs
+++ b/src/autoscaler/cloud.rs
@@ -22,7 +22,8 @@
 const RETURNED_NAMES_MAX: usize = 16 * 1024;
 /// The time from the start of a term after which all workers have sent a heartbeat, in heartbeat intervals.
 const FLEET_KNOWN_HEARTBEAT_INTERVALS: f64 = 1.5;
-/// The share of the machines whose workers must have made contact for the fleet to count as known earlier than that.
+/// The fleet counts as known before the time of [`FLEET_KNOWN_HEARTBEAT_INTERVALS`] once the workers of this share of
+/// the running machines have made contact.
 const CONTACTED_SHARE_MIN: f64 = 0.95;
 
 /// A call to the cloud.
@@ -218,13 +219,13 @@
         }
     }
 
-    /// Removes the first queued rental request, which has its answer.
+    /// Removes the first queued rental request, which has been answered.
     pub(crate) fn dequeue_rental(&mut self) {
         self.queued_rentals.pop_front();
     }
 
-    /// Records that a pool refused machines, and drops the other queued requests to the pool: with several hundred
-    /// machines in requests of 50, they would take the few calls that the cloud allows from all other pools.
+    /// Records that a pool refused machines, and drops the other queued requests to the pool. Otherwise several hundred
+    /// machines in requests of 50 would use up the few calls that the cloud allows, and all other pools would wait.
     pub(super) fn record_refusal(
         &mut self,
         rent: &RentRequest,
--- a/src/autoscaler/coverage.rs
+++ b/src/autoscaler/coverage.rs
@@ -60,7 +60,7 @@
     /// The round in which a class may use a machine. Machines that run tasks of the same size (large or small) come
     /// first, then empty ones, then, for large tasks, machines on which they would preempt small tasks. Small tasks may
     /// also use a machine with a large task, in the round of empty machines, if its used share is at most
-    /// `large_share`.
+    /// `large_share`. None if the class may use the machine in no round.
     fn allocation_round(
         &self,
         class: &JobClass,
--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -13,7 +13,7 @@
 const BACKLOG_HORIZON_BOOT_TIMES: f64 = 1.0;
 /// The horizon within which a backlog is cleared, as a share of the strictest target of its jobs.
 const BACKLOG_HORIZON_TARGET_SHARE: f64 = 0.5;
-/// Machines that are up already are kept as long as they help to clear the backlog within this share of the horizon.
+/// Existing machines are kept as long as they help to clear the backlog within this share of the horizon.
 const RETAINED_HORIZON_SHARE: f64 = 0.3;
 /// Pending tasks are not a backlog if the usual throughput works them off within this share of the horizon.
 const QUEUE_HORIZON_SHARE: f64 = 0.25;
@@ -27,8 +27,8 @@
 /// The share of the start target within which large tasks are planned to start.
 const LARGE_START_TARGET_SHARE: f64 = 0.75;
 
-/// The number of tasks of a class that the fleet should have machines for. At a low price, it covers every task that a
-/// machine helps; at a higher price, only the tasks that would miss their target otherwise.
+/// The number of tasks of a class that the fleet should have machines for. Machines at a low price are demanded for
+/// every task that they help; machines at a higher price only for the tasks that would miss their target otherwise.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Demand {
     /// Tasks to cover with machines at a low price (see [`LOW_PRICE_RATIO`]).
@@ -58,7 +58,7 @@
     }
 
     /// Rounds the demand to whole tasks and bounds the demand at any price. The lower bound is one task while any is
-    /// unfinished: even a small backlog must run at some time. The upper bound is the demand at a low price: without
+    /// unfinished: even a small backlog must run eventually. The upper bound is the demand at a low price: without
     /// it, an arrival burst at a cluster start demands three times as many machines.
     fn bounded(self, unfinished_tasks: f64) -> Self {
         let bounded = |tasks: f64| {
@@ -97,15 +97,18 @@
         self.start_target_s < self.boot_s * SHORT_START_TARGET_BOOT_TIMES
     }
 
-    /// Raises a demand by a reserve for expected arrivals. Classes with a short start target need machines that are up
-    /// before their jobs arrive.
+    /// Adds a reserve for expected arrivals to the demand of a class with a short start target: a machine rented when
+    /// a job arrives would be up too late.
     fn add_reserve(&self, spare_ratio: f64, tasks_per_job: f64, demand: &mut Demand) {
         let mean = self.concurrent_tasks;
         if self.run_s >= self.boot_s {
-            // No reserve beyond one standard deviation above the mean: ending tasks release enough machines.
+            // The reserve extends to one standard deviation above the mean at most: beyond that, ending tasks release
+            // enough machines.
             let usual_peak = mean + (mean * tasks_per_job).sqrt();
-            let after_boot = self.unfinished_tasks + spare_ratio * self.tasks_per_s * self.boot_s;
-            *demand = Demand::at_any_price(self.unfinished_tasks.max(after_boot.min(usual_peak)));
+            let tasks_after_boot =
+                self.unfinished_tasks + spare_ratio * self.tasks_per_s * self.boot_s;
+            *demand =
+                Demand::at_any_price(self.unfinished_tasks.max(tasks_after_boot.min(usual_peak)));
         } else {
             demand.at_low_price = demand
                 .at_low_price
@@ -137,7 +140,9 @@
             .min_by(f64::total_cmp)
     }
 
-    /// The number of tasks of a class that the fleet should have machines for.
+    /// The demand of a class for its average load and backlog. Large tasks with a start target need machines at any
+    /// price only if they would be late. A reserve for expected arrivals is added if the start target is short and the
+    /// turnover is insufficient.
     pub(super) fn demand_of(
         &self,
         class: &JobClass,
@@ -196,18 +201,20 @@
         let (run_s, average) = (load.run_s, load.concurrent_tasks);
         let horizon_s = self.backlog_horizon_s(class, load);
         let completed_per_s = average.max(class.assigned_tasks) / run_s;
-        let tasks_to_clear = |pending: f64, within_s: f64| {
+        let concurrent_tasks_to_clear = |pending: f64, within_s: f64| {
             let backlog = (pending - completed_per_s * horizon_s * QUEUE_HORIZON_SHARE).max(0.0);
             average + backlog * run_s / within_s
         };
-        // Existing machines are kept for the tasks pending now, rented ones serve those pending once they have booted.
+        // Existing machines are kept for the tasks that are pending now. Machines to be rented are for the tasks that
+        // will be pending when these machines have booted.
         let arriving_per_s =
             forecast.recent_rate(&class_key(&class.spec), self.now) * class.tasks_per_job();
         let pending_after_boot =
             class.pending_tasks + (arriving_per_s - class.assigned_tasks / run_s) * load.boot_s;
-        let rented_at_any_price = tasks_to_clear(pending_after_boot, horizon_s);
-        let at_any_price = tasks_to_clear(class.pending_tasks, horizon_s * RETAINED_HORIZON_SHARE)
-            .max(rented_at_any_price);
+        let rented_at_any_price = concurrent_tasks_to_clear(pending_after_boot, horizon_s);
+        let at_any_price =
+            concurrent_tasks_to_clear(class.pending_tasks, horizon_s * RETAINED_HORIZON_SHARE)
+                .max(rented_at_any_price);
         Demand {
             at_low_price: load.unfinished_tasks.max(average),
             at_any_price,
@@ -253,8 +260,8 @@
             >= class.tasks_per_job() * class.task_resources.cpus
     }
 
-    /// How many large tasks need machines at any price: those that the machines at a low price can't start in time if
-    /// each runs one task after another.
+    /// How many large tasks need machines at any price: the assigned ones, and those that the machines at a low price
+    /// can't start in time if each runs one task after another. Zero if all can be started in time.
     fn large_tasks_at_any_price(&self, class: &JobClass, start_target_s: f64) -> f64 {
         let class_key = class_key(&class.spec);
         let low_price_limit = self.lowest_unit_price(&class.spec) * LOW_PRICE_RATIO;
--- a/src/autoscaler/diagnostics.rs
+++ b/src/autoscaler/diagnostics.rs
@@ -13,7 +13,7 @@
     not_up: u32,
     up: u32,
     draining: u32,
-    /// The sum of the dominant shares in use on the machines that are up, in machines.
+    /// The sum of the used dominant shares of the machines that are up: 1.0 is one fully used machine.
     used_machines: f64,
 }
 
@@ -50,10 +50,11 @@
         tracing::debug!(
             machine_type = %catalog[option.type_index].name,
             spot = option.spot,
-            not_up = counts.not_up,
+            // The names of log fields stay as they are for tools that search the log.
+            coming = counts.not_up,
             up = counts.up,
             draining = counts.draining,
-            used_machines = counts.used_machines,
+            used = counts.used_machines,
             "machines of a type"
         );
     }
--- a/src/autoscaler/exceptions.rs
+++ b/src/autoscaler/exceptions.rs
@@ -1,5 +1,5 @@
-//! Exceptions: tasks whose machines can't be derived from the averages of their class, and which are covered
-//! separately. These are outliers, and steps of chains with a deadline.
+//! Exceptions: tasks that need other machines than the averages of their class show, and are covered separately. These
+//! are outliers and the steps of chains with a deadline.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -99,8 +99,8 @@
 }
 
 impl ScalingInputs<'_> {
-    /// The steps of chains with a deadline that may start now or next, as classes of their own without spot machines: a
-    /// task that is lost with a spot machine makes the whole chain late.
+    /// The steps of chains with a deadline that are running, ready or become ready next, as classes of their own
+    /// without spot machines: a task that is lost with a spot machine makes the whole chain late.
     fn chain_steps_with_deadline(&self, classes: &JobClasses) -> Vec<ClassException> {
         let mut subclasses: BTreeMap<Rc<str>, JobClass> = BTreeMap::new();
         let not_ended = self.jobs.values().filter(|j| j.end.is_none());
@@ -129,7 +129,8 @@
             .collect()
     }
 
-    /// Whether no known dependency of a job is itself blocked: the job becomes ready once its dependencies are done.
+    /// Whether all known dependencies of a job are unblocked: the job becomes ready as soon as they are done. Unknown
+    /// dependencies are ignored.
     fn has_only_unblocked_dependencies(&self, job: &Job) -> bool {
         let dependencies = job.spec.waits_on.iter();
         let mut known = dependencies.filter_map(|id| self.jobs.get(&self.jobs.index_of(id)?));
--- a/src/autoscaler/inventory.rs
+++ b/src/autoscaler/inventory.rs
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Adds rented machines to the fleet, possibly fewer than requested. A machine whose worker has made contact before
-    /// this answer is known already and only gets its role.
+    /// Adds rented machines to the fleet, possibly fewer than requested. A machine that the fleet has already, because
+    /// its worker made contact or the list showed it before this answer, only gets its role.
     pub(crate) fn on_rented(
         &mut self,
         rent: &RentRequest,
--- a/src/autoscaler/job_classes.rs
+++ b/src/autoscaler/job_classes.rs
@@ -16,7 +16,7 @@
 /// The weight of the run time that job owners estimate, as a number of observed run times.
 const ESTIMATE_WEIGHT_RUNS: f64 = 20.0;
 
-/// The mean demand of a task, by resource.
+/// The mean of each resource that a task requests.
 #[derive(Debug, Clone, Default)]
 struct MeanResources {
     cpus: DecayingMean,
@@ -25,7 +25,7 @@
 }
 
 impl MeanResources {
-    /// Adds the demand of a task and returns the updated means.
+    /// Adds the resources that a task requests, and returns the updated means.
     fn add(&mut self, resources: Resources) -> Resources {
         let add = |mean: &mut DecayingMean, value: f64| {
             mean.add(value, MEAN_JOBS);
@@ -44,7 +44,7 @@
 pub struct JobClass {
     /// The first job of the class in this term. It represents the class in what the jobs have in common.
     pub(crate) spec: Rc<Submission>,
-    /// The mean demand of a task.
+    /// The mean resources that a task requests.
     pub(super) task_resources: Resources,
     mean_resources: MeanResources,
     tasks_per_job: DecayingMean,
@@ -52,9 +52,10 @@
     estimated_run_s: DecayingMean,
     /// The deadline of the jobs that have one of their own, in seconds.
     pub(super) deadline_s: DecayingMean,
-    /// The expected run time of a task in seconds: the mean of observed and estimated run times.
+    /// The expected run time of a task in seconds: the weighted mean of observed and estimated run times.
     run_s: f64,
-    /// Tasks that may be placed now: those of jobs in backoff or blocked are left out.
+    /// Unfinished tasks that are on no machine and may be placed now: those of jobs in backoff and of blocked jobs are
+    /// left out.
     pub(crate) pending_tasks: f64,
     /// Tasks that are assigned to machines and not completed.
     pub(super) assigned_tasks: f64,
@@ -85,7 +86,7 @@
         self.task_resources = self.mean_resources.add(task_resources(spec));
     }
 
-    /// A class with the averages of this one but its own requirements, and without tasks.
+    /// A class with the averages of this one and the requirements of `spec`, without tasks.
     pub(super) fn subclass(&self, spec: Submission) -> Self {
         JobClass {
             spec: Rc::new(spec),
--- a/src/autoscaler/pools.rs
+++ b/src/autoscaler/pools.rs
@@ -14,7 +14,7 @@
 /// The longest backoff after a pool refused machines, in boot times.
 const REFUSAL_BACKOFF_BOOT_TIMES_MAX: f64 = 0.8;
 
-/// A pool: machines of one type in one zone, on demand or spot. The cloud's capacity is limited by pool.
+/// A pool: machines of one type in one zone, on demand or spot. The cloud limits its capacity per pool.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolKey {
     /// The machine type's index in the catalog.
@@ -71,7 +71,8 @@
         self.machines_at_refusal = machine_count;
     }
 
-    /// Records that a request was served in full.
+    /// Records that a request was served in full: the next refusal starts with the first backoff again. A backoff that
+    /// has not ended goes on.
     pub(super) fn record_success(&mut self) {
         self.backoff_s = None;
     }
--- a/src/autoscaler/surplus.rs
+++ b/src/autoscaler/surplus.rs
@@ -7,9 +7,9 @@
 
 /// The tasks of surplus machines are evicted if they fit into this share of the free CPUs of needed machines.
 const EVICTION_CAPACITY_SHARE: f64 = 0.5;
-/// The cloud's minimum charge for a machine, in seconds.
+/// The shortest time that the cloud charges for a machine, in seconds.
 const MINIMUM_CHARGE_S: f64 = 60.0;
-/// The share of the minimum charge that must have passed before a machine is returned.
+/// The share of [`MINIMUM_CHARGE_S`] that must have passed before a machine is returned or its tasks are evicted.
 const MINIMUM_CHARGE_USED_SHARE: f64 = 0.95;
 
 /// Which machines are needed, and what to do with the others.
@@ -28,7 +28,8 @@
 }
 
 impl ScalingInputs<'_> {
-    /// Decides which machines are drained, evicted or returned: only those that have been surplus for their idle time.
+    /// Decides which machines are drained, evicted or returned: only machines that have been surplus for as long as
+    /// idle machines are kept.
     pub(crate) fn scale_in_plan(&self, units: &[CapacityUnit]) -> ScaleInPlan {
         let mut plan = ScaleInPlan::default();
         let mut free_cpus = self.free_cpus_on_needed_machines(units) * EVICTION_CAPACITY_SHARE;
