--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -1,4 +1,5 @@
-//! Leadership: a key attached to a lease. The revision at which the key was created is the fencing token.
+//! Leadership: the leader is the controller whose record is stored under the leader's key, which is attached to a
+//! lease. The revision at which the key was created is the fencing token.
 
 use std::rc::Rc;
 
@@ -12,23 +13,24 @@
 use crate::store::records::LeaderRecord;
 use crate::store::transaction::TxnOutcome;
 
-/// A term of leadership of this controller.
+/// A term of leadership that this controller has won.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderTerm {
-    /// The revision of the leader's key: every write is conditional on it, every command carries it.
+    /// The revision of the leader's key. Every write of the leader is conditional on it, and every command carries it.
     pub fencing_token: u64,
-    /// Id of the lease that the leader's key is attached to.
+    /// The id of the lease that the leader's key is attached to.
     pub lease: u64,
-    /// When the last successful renewal of the lease was sent, or the request for the lease.
+    /// When the last successful renewal of the lease was sent, or before the first one, when the lease was requested.
     pub renewal_sent_at: Time,
 }
 
 impl LeaderTerm {
-    /// Until when this controller may act as the leader, if its replica holds everything that was stored at the moment
-    /// `replica_current_at`, and the lease is trusted for `trusted_lease_s`.
+    /// Returns the time until which this controller may act as the leader, if its replica holds everything that was
+    /// stored at `replica_current_at` and the lease is trusted for `trusted_lease_s` seconds after a renewal was sent.
     ///
-    /// A renewal alone proves nothing of the replica: a leader whose watch stalls while its lease is renewed would
-    /// answer workers for ever without stopping the tasks of jobs that were cancelled at other controllers.
+    /// A renewal alone does not show that the replica is current: a leader whose watch stalls while its lease is
+    /// renewed would keep answering workers without ever stopping the tasks of jobs that were cancelled at other
+    /// controllers.
     pub fn trusted_until(&self, replica_current_at: Time, trusted_lease_s: f64) -> Time {
         self.renewal_sent_at.min(replica_current_at) + trusted_lease_s
     }
@@ -37,14 +39,15 @@
 /// Why a campaign did not make this controller the leader.
 #[derive(Debug, thiserror::Error)]
 pub enum CampaignError {
-    /// No lease was granted.
-    #[error("no lease: {0}")]
+    /// The state service did not grant a lease.
+    #[error("lease not granted: {0}")]
     Lease(#[source] StoreError),
     /// The leader's record can't be serialized.
     #[error("leader record cannot be serialized: {0}")]
     Encode(#[source] serde_json::Error),
-    /// Another controller leads, or whether this one was elected could not be found out; its lease is revoked.
-    #[error("not elected")]
+    /// Another controller leads, the state service refused the transaction, or its outcome could not be determined. The
+    /// campaign has tried to revoke its lease.
+    #[error("this controller was not elected, or the outcome of the election is unknown")]
     NotElected,
 }
 
@@ -53,29 +56,31 @@
 pub enum RenewalOutcome {
     /// The lease is renewed.
     Renewed,
-    /// The renewal failed or was not answered; the lease may still be held, and a later renewal may succeed.
+    /// The renewal failed or was not answered. The lease may not have expired, and a later renewal may succeed.
     Unknown,
-    /// The lease has expired: the term is over.
+    /// The lease has expired, which ends the term.
     Expired,
 }
 
-/// Whether another controller should rather lead.
+/// Returns whether this controller should let other controllers campaign first, because one of them is better placed to
+/// lead.
 ///
-/// Workers that can't reach their controller try the next one, here taken to be the next by name, which takes them
-/// several seconds each: when the zones can't reach each other, a delegate renews the workers' leases in time only if
-/// the controller after the leader is in another zone than the leader.
+/// Workers that can't reach their controller try the next one, assumed here to be the next by name, and every attempt
+/// takes several seconds. When the zones can't reach each other, a delegate therefore renews the workers' leases in
+/// time only if the controller that follows the leader by name is in another zone than the leader. A controller
+/// whose successor is in its own zone yields if some other controller's successor is in a different zone.
 pub fn yields_to_peers(config: &Config) -> bool {
     let own = (config.node.as_str(), config.zone.as_str());
     let peers = config.peers.iter();
     let mut ring: Vec<(&str, &str)> = peers.map(|p| (p.name.as_str(), p.zone.as_str())).collect();
     ring.push(own);
     ring.sort_unstable();
-    let next_is_in_another_zone = |at: usize| ring[at].1 != ring[(at + 1) % ring.len()].1;
+    let next_is_in_another_zone = |index: usize| ring[index].1 != ring[(index + 1) % ring.len()].1;
     let own_index = ring.iter().position(|node| *node == own).unwrap_or(0);
     !next_is_in_another_zone(own_index) && (0..ring.len()).any(next_is_in_another_zone)
 }
 
-/// Campaigns for leadership: creates the leader's key under a new lease, if it is absent.
+/// Campaigns for leadership: requests a lease and creates the leader's key attached to it, if the key is absent.
 pub async fn campaign(
     runtime: &Runtime,
     store: &StoreClient,
@@ -91,14 +96,14 @@
         node: config.node.clone(),
         incarnation,
     };
-    let txn = creation_of_leader(&record, lease).map_err(CampaignError::Encode)?;
+    let txn = leader_key_creation(&record, lease).map_err(CampaignError::Encode)?;
     let elected = match store.txn(&txn).await {
         TxnOutcome::Applied(fencing_token) => Some(fencing_token),
         TxnOutcome::Unknown => read_back_election(store, &record, lease).await,
         TxnOutcome::Conflict(_) | TxnOutcome::Refused | TxnOutcome::TooLarge => None,
     };
     let Some(fencing_token) = elected else {
-        // A late copy of the transaction fails: its lease has ended.
+        // Once the lease is revoked, a late copy of the transaction fails, as it attaches the key to that lease.
         let _ = store.revoke_lease(lease).await;
         return Err(CampaignError::NotElected);
     };
@@ -109,8 +114,8 @@
     })
 }
 
-/// Creates the leader's key, if it is absent, attached to a lease.
-fn creation_of_leader(record: &LeaderRecord, lease: u64) -> Result<Txn, serde_json::Error> {
+/// Returns the transaction that creates the leader's key, attached to a lease, if the key is absent.
+fn leader_key_creation(record: &LeaderRecord, lease: u64) -> Result<Txn, serde_json::Error> {
     Ok(Txn {
         conditions: vec![Condition {
             key: keys::leader(),
@@ -124,7 +129,8 @@
     })
 }
 
-/// After an unanswered transaction: the fencing token, if the transaction turns out to have been applied.
+/// Reads the leader's key back after a campaign's transaction was not answered. Returns the fencing token if the
+/// transaction has been applied.
 async fn read_back_election(store: &StoreClient, record: &LeaderRecord, lease: u64) -> Option<u64> {
     let found = store.get(&keys::leader()).await.ok()??;
     let is_own =
@@ -132,8 +138,8 @@
     is_own.then_some(found.revision)
 }
 
-/// Revokes the lease of a previous incarnation of this host, if it is shown as the leader: one process runs per host,
-/// so the previous one has ended.
+/// Revokes the lease of a previous process of this controller, if the store names that process as the leader. Only one
+/// process runs per controller, so the previous one has ended.
 pub async fn revoke_previous_incarnation(store: &StoreClient, config: &Config, incarnation: u64) {
     if let Ok(Some(found)) = store.get(&keys::leader()).await
         && let Some(record) = decode_leader(&found)
@@ -153,7 +159,7 @@
     serde_json::from_str(found.value.get()).ok()
 }
 
-/// Renews the lease of a term.
+/// Renews the lease of a term, and records in the term when the renewal was sent.
 pub async fn renew_term(
     runtime: &Runtime,
     store: &StoreClient,
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,5 +1,5 @@
-//! The state service, a consensus-backed key-value store: its client, the keys and records that this service keeps
-//! there, and the replica of them that every controller maintains by a watch.
+//! The state service, a consensus-backed key-value store: its client, the keys and records that the controllers store
+//! in it, and the replica of these records that every controller keeps current by a watch.
 
 pub mod client;
 pub mod keys;
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -14,25 +14,25 @@
 /// Why a call to the state service failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The service answered with a status that doesn't belong to the call: 429 above its rate limit, 503 while it is
-    /// unavailable.
-    #[error("refused with status {0}")]
+    /// The service answered with an HTTP status that the call doesn't expect, such as 429 above its rate limit or 503
+    /// while it is unavailable.
+    #[error("state service answered with unexpected status {0}")]
     Status(u16),
-    /// There was no connection or no answer.
+    /// The service could not be reached, or its response did not arrive or is malformed.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The answer's body doesn't have the form that the protocol defines.
-    #[error("answer not understood: {0}")]
+    /// The body of the answer doesn't have the form that the protocol defines.
+    #[error("answer of the state service cannot be decoded: {0}")]
     Decode(#[source] serde_json::Error),
     /// The request can't be serialized.
-    #[error("request cannot be serialized: {0}")]
+    #[error("request to the state service cannot be serialized: {0}")]
     Encode(#[source] serde_json::Error),
 }
 
 /// Outcome of renewing a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseRenewal {
-    /// The lease has its full time again.
+    /// The lease runs for its full duration again.
     Renewed,
     /// The lease has expired, and the keys attached to it are gone.
     Expired,
@@ -40,37 +40,37 @@
 
 /// Outcome of a watch.
 pub enum WatchOutcome {
-    /// The changes since the revision asked for; none if the time ran out.
+    /// The changes since the requested revision; empty if there were none within the watch's time limit.
     Events(Events),
-    /// The service no longer has the changes since that revision: everything must be read again.
+    /// The service no longer keeps all changes since the requested revision: the caller must load all keys again.
     Compacted,
 }
 
-/// Client of the state service. It stays within this node's share of the service's request limit.
+/// Client of the state service. It keeps its requests within this controller's share of the service's request limit.
 pub struct StoreClient {
     runtime: Runtime,
     client: Client,
-    /// Watches have connections of their own, as they block.
+    /// Used for watches only: they block, so they must not occupy the connections of other calls.
     watch_client: Client,
-    requests: TokenBucket,
+    request_limit: TokenBucket,
     call_timeout_s: f64,
 }
 
-/// The part of the service's request limit that all controllers together use.
+/// The fraction of the service's request limit that all controllers together use.
 const REQUEST_LIMIT_SHARE: f64 = 0.9;
-/// Time limit of an ordinary call, as a ratio to the life of the leader's lease.
+/// Time limit of every call except a watch, in durations of the leader's lease.
 const CALL_TIMEOUT_LEADER_LEASES: f64 = 0.25;
-/// How long the answer to a watch may take beyond the watch's own time.
+/// Extra time that the answer to a watch may take beyond the time limit sent with the watch, in seconds.
 const WATCH_GRACE_S: f64 = 2.0;
-/// The part of the memory limit that one answer's body may take.
+/// The fraction of the controller's memory limit that the body of one answer may take.
 const BODY_MEMORY_SHARE: f64 = 0.12;
-/// Keys asked for in one page; the service returns at most as many.
+/// Requested number of keys per page; the service returns at most this many.
 const KEYS_PER_PAGE: usize = 1000;
-/// Bytes of an error's body that are logged.
-const LOGGED_BODY_BYTES: usize = 200;
+/// Largest part of the body of an error answer that is logged, in bytes.
+const LOGGED_BODY_BYTES_MAX: usize = 200;
 
 impl StoreClient {
-    /// A client of the service at an address.
+    /// Creates a client of the service at `address`. No connection is made before the first call.
     pub fn new(runtime: &Runtime, address: SocketAddr, config: &Config) -> Self {
         let deployment = &config.deployment;
         let body_max = (deployment.limits.ram_mb * 1024.0 * 1024.0 * BODY_MEMORY_SHARE) as usize;
@@ -79,7 +79,7 @@
             runtime: runtime.clone(),
             client: Client::new(runtime, address, body_max),
             watch_client: Client::new(runtime, address, body_max),
-            requests: TokenBucket::new(rate, rate),
+            request_limit: TokenBucket::new(rate, rate),
             call_timeout_s: config.leader_lease_s() * CALL_TIMEOUT_LEADER_LEASES,
         }
     }
@@ -97,14 +97,14 @@
     }
 
     async fn wait_for_request_token(&self) {
-        let wait = self.requests.acquire(1.0, self.runtime.now());
+        let wait = self.request_limit.acquire(1.0, self.runtime.now());
         if wait > 0.0 {
             self.runtime.sleep(wait).await;
         }
     }
 
-    /// A read barrier: the revision of the store at some moment after this call began. The key must never be written:
-    /// only the answer that it is absent carries the revision.
+    /// Reads the store's revision at some moment after this call began, for a read barrier. `absent_key` must be a key
+    /// that is never written: only the answer that a key is absent carries the store's revision.
     pub async fn current_revision(&self, absent_key: &str) -> Result<u64, StoreError> {
         let (status, body) = self
             .call("GET", &format!("{}/{absent_key}", paths::KEYS), None)
@@ -115,7 +115,7 @@
         }
     }
 
-    /// A key's value, if there is one.
+    /// Reads a key with its value, revision and lease; None if the key does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StoreError> {
         let (status, body) = self
             .call("GET", &format!("{}/{key}", paths::KEYS), None)
@@ -127,15 +127,16 @@
         }
     }
 
-    /// A page of the keys with a prefix, beginning after the key `after`, or with the first if that is empty.
+    /// Reads a page of the keys with a prefix. The page begins after the key `after`, or with the first key if `after`
+    /// is empty.
     pub async fn list(&self, prefix: &str, after: &str) -> Result<KeyPage, StoreError> {
-        let after = if after.is_empty() {
+        let after_parameter = if after.is_empty() {
             String::new()
         } else {
             format!("&After={after}")
         };
         let path = format!(
-            "{}?Prefix={prefix}{after}&Limit={KEYS_PER_PAGE}",
+            "{}?Prefix={prefix}{after_parameter}&Limit={KEYS_PER_PAGE}",
             paths::KEYS
         );
         match self.call("GET", &path, None).await? {
@@ -146,7 +147,8 @@
 
     /// Sends a transaction.
     ///
-    /// One that was sent and not answered may have been applied, or may yet be.
+    /// A transaction that was sent but not answered may have been applied, or may still be applied later; its outcome
+    /// is [`TxnOutcome::Unknown`].
     pub async fn txn(&self, txn: &Txn) -> TxnOutcome {
         let Ok(body) = serde_json::to_vec(txn) else {
             return TxnOutcome::Refused;
@@ -162,13 +164,16 @@
             },
             Ok((429 | 503, _)) => TxnOutcome::Refused,
             Ok((400, body)) => {
-                let logged = &body[..body.len().min(LOGGED_BODY_BYTES)];
+                let logged = &body[..body.len().min(LOGGED_BODY_BYTES_MAX)];
                 let reason = String::from_utf8_lossy(logged);
-                tracing::warn!(%reason, "transaction rejected");
+                tracing::warn!(%reason, "state service rejected a transaction");
                 TxnOutcome::TooLarge
             }
             Ok((status, _)) => {
-                tracing::warn!(status, "unexpected answer to a transaction");
+                tracing::warn!(
+                    status,
+                    "state service answered a transaction with an unexpected status"
+                );
                 TxnOutcome::Unknown
             }
             Err(CallError::NotSent(_)) => TxnOutcome::Refused,
@@ -176,7 +181,7 @@
         }
     }
 
-    /// Grants a new lease; its id.
+    /// Requests a lease that expires if it is not renewed for `ttl_s` seconds; returns its id.
     pub async fn grant_lease(&self, ttl_s: f64) -> Result<u64, StoreError> {
         let request = LeaseRequest {
             ttl_ms: (ttl_s * 1000.0) as u64,
@@ -188,7 +193,7 @@
         }
     }
 
-    /// Renews a lease.
+    /// Renews a lease for its full duration.
     pub async fn renew_lease(&self, lease: u64) -> Result<LeaseRenewal, StoreError> {
         let path = format!("{}/{lease}{}", paths::LEASES, paths::RENEW_SUFFIX);
         match self.call("POST", &path, Some(b"{}")).await? {
@@ -198,7 +203,7 @@
         }
     }
 
-    /// Revokes a lease: it ends at once, and the keys attached to it are removed. One that has expired is no error.
+    /// Revokes a lease: it ends at once, and the keys attached to it are removed. Revoking an expired lease succeeds.
     pub async fn revoke_lease(&self, lease: u64) -> Result<(), StoreError> {
         let path = format!("{}/{lease}", paths::LEASES);
         match self.call("DELETE", &path, None).await? {
@@ -207,7 +212,7 @@
         }
     }
 
-    /// Watches a prefix: waits up to `block_s` for changes of its keys since the revision `after`.
+    /// Watches a prefix: waits up to `block_s` seconds for changes of its keys since the revision `after`.
     pub async fn watch(
         &self,
         prefix: &str,
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -1,9 +1,10 @@
-//! Names of the keys in the state service. The second segment of the root leaves room for several tenants.
+//! Names of the keys in the state service. The second segment of the root allows for several tenants; `main` is the
+//! only one.
 
-/// Prefix of every key that this service stores.
+/// Prefix of every key that the controllers store.
 pub const ROOT: &str = "capervale/main/";
 
-// Key families: the first segment after the root. Earlier versions look for exactly these.
+// Key families: the first segment after the root. Earlier versions read the same names, so they must not change.
 const LEADER: &str = "leader";
 const MACHINE_TYPES: &str = "types";
 const REVISION_PROBE: &str = "none";
@@ -16,63 +17,64 @@
 const QUOTA: &str = "quota";
 const ASSIGNMENT_RECORD: &str = "run";
 
-/// The key that holds the leader, attached to its lease.
+/// The key that holds the [`LeaderRecord`](super::records::LeaderRecord), attached to the leader's lease.
 pub fn leader() -> String {
     format!("{ROOT}{LEADER}")
 }
 
-/// The machine types as first read from the cloud.
+/// The key of the machine types, as the first controller that read them from the cloud stored them.
 pub fn machine_types() -> String {
     format!("{ROOT}{MACHINE_TYPES}")
 }
 
-/// A key that is never written: the answer that it is absent carries the store's current revision, for read barriers.
+/// A key that is never written. Reading it serves read barriers: the answer that a key is absent carries the store's
+/// current revision.
 pub fn revision_probe() -> String {
     format!("{ROOT}{REVISION_PROBE}")
 }
 
-/// A controller's request that the leader steps down.
+/// The key of a controller's request that the leader steps down.
 pub fn step_down_request(node: &str) -> String {
     format!("{ROOT}{STEP_DOWN_REQUEST}/{node}")
 }
 
-/// A delegation: the leader with this fencing token lets others answer a zone's workers in its name. `number` tells
-/// the delegations of one term apart.
+/// The key of a delegation, by which the leader with this fencing token lets other controllers answer a zone's workers
+/// in its name. `number` distinguishes the delegations of one term.
 pub fn delegation(fencing_token: u64, number: u64) -> String {
     format!("{ROOT}{DELEGATION}/{fencing_token}-{number}")
 }
 
-/// What a delegate reports to the leader.
+/// The key of the [`RelayRecord`](super::records::RelayRecord) in which the delegate `node` reports to the leader.
 pub fn relay(node: &str) -> String {
     format!("{ROOT}{RELAY}/{node}")
 }
 
-/// A job as submitted.
+/// The key of a job's [`JobRecord`](super::records::JobRecord).
 pub fn job(id: &str) -> String {
     format!("{ROOT}{JOB}/{id}")
 }
 
-/// A part of a job's dependencies, if they don't fit into the job's own value; parts are numbered from 1.
+/// The key of a part of a job's dependencies that don't fit into the job's own value; parts are numbered from 1.
 pub fn dependency_part(id: &str, part: u32) -> String {
     format!("{ROOT}{DEPENDENCY_PART}/{id}/{part}")
 }
 
-/// How a job ended.
+/// The key of a job's [`EndRecord`](super::records::EndRecord).
 pub fn job_end(id: &str) -> String {
     format!("{ROOT}{JOB_END}/{id}")
 }
 
-/// A quota account; `account` is the rest of its key.
+/// The key of a quota account; `account` is the part of the key after the family.
 pub fn quota(account: &str) -> String {
     format!("{ROOT}{QUOTA}/{account}")
 }
 
-/// A record of the assignment log.
+/// The key of the [`AssignmentRecord`](super::records::AssignmentRecord) with this number.
 pub fn assignment_record(number: u64) -> String {
     format!("{ROOT}{ASSIGNMENT_RECORD}/{number}")
 }
 
-/// A key of this service, parsed.
+/// A parsed key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoredKey<'a> {
     /// See [`leader`].
@@ -92,7 +94,7 @@
     },
     /// See [`dependency_part`].
     DependencyPart {
-        /// The id of the job that has the dependencies.
+        /// The id of the job that depends on the jobs listed in the part.
         job: &'a str,
     },
     /// See [`job_end`].
@@ -102,7 +104,7 @@
     },
     /// See [`quota()`].
     Quota {
-        /// The rest of the account's key.
+        /// The part of the account's key after the family.
         account: &'a str,
     },
     /// See [`assignment_record`].
@@ -113,7 +115,7 @@
 }
 
 impl<'a> StoredKey<'a> {
-    /// Parses a key; none if this version doesn't know it: a later one may have written it.
+    /// Parses a key; None if this version doesn't know the key, as a later version may have written it.
     pub fn parse(key: &'a str) -> Option<Self> {
         let path = key.strip_prefix(ROOT)?;
         let (family, rest) = path.split_once('/').unwrap_or((path, ""));
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,4 +1,5 @@
-//! Records in the state service. Their serialized names are shared with earlier versions and stay as they are.
+//! Records in the state service. Earlier versions read and write the same records, so the serialized names must not
+//! change.
 
 use std::ops::Range;
 use std::rc::Rc;
@@ -9,18 +10,18 @@
 
 use crate::protocol::users::Submission;
 
-/// The leader. The revision of its key is its fencing token.
+/// The controller that leads. The revision of the record's key is the leader's fencing token.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The controller's name.
+    /// The name of the controller.
     #[serde(rename = "host")]
     pub node: String,
-    /// Random number of the controller's process.
+    /// Random number that identifies the controller's process; a restarted controller draws a new one.
     #[serde(rename = "incarnation")]
     pub incarnation: u64,
 }
 
-/// A controller's request that the leader with this fencing token steps down, as workers can't reach it.
+/// A controller's request that the leader steps down because workers can't reach it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StepDownRequest {
     /// The fencing token of the leader that is to step down.
@@ -28,7 +29,7 @@
     pub fencing_token: u64,
 }
 
-/// A delegation: the leader with this fencing token lets others answer a zone's workers in its name.
+/// A delegation: the leader lets other controllers answer a zone's workers in its name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DelegationRecord {
     /// The fencing token of the leader that delegates.
@@ -42,37 +43,41 @@
     pub revoked: bool,
 }
 
-/// What a delegate of the leader with this fencing token saw in a zone.
+/// A delegate's report to the leader about a zone that the leader can't reach.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RelayRecord {
     /// The fencing token of the leader that delegated.
     #[serde(rename = "token")]
     pub fencing_token: u64,
-    /// The zone.
+    /// The zone that the report covers.
     #[serde(rename = "zone")]
     pub zone: String,
-    /// Tasks that completed.
+    /// Tasks that completed, by job and attempt.
     #[serde(rename = "jobs")]
     pub jobs: Vec<JobAssignments>,
-    /// Machines, and the agent epochs in which their workers have seen that fencing token.
+    /// Machines with the agent epochs in which their workers have seen the leader's fencing token.
     #[serde(rename = "sessions", default)]
     pub agent_epochs: Vec<(String, u64)>,
 }
 
-/// A job as accepted. Records of earlier versions lack the fields after `spec`, and these versions ignore them.
+/// A job as accepted. Records written by earlier versions lack the fields after `spec`, and earlier versions ignore
+/// these fields.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The submission.
+    /// The job as its user submitted it.
     #[serde(flatten)]
     pub spec: Submission,
-    /// Time of day of the submission, in milliseconds: a new leader counts deadlines from then.
+    /// Unix time of the submission, in milliseconds, from which a new leader counts deadlines. None if an earlier
+    /// version wrote the record.
     #[serde(rename = "AtMs", default, skip_serializing_if = "Option::is_none")]
     pub submitted_unix_ms: Option<u64>,
-    /// How many values under [`super::keys::dependency_part`] hold the rest of its dependencies: a value's size is
-    /// limited.
+    /// How many values under [`super::keys::dependency_part`] hold the dependencies that don't fit into this record, as
+    /// the size of a value is limited.
     #[serde(rename = "Parts", default, skip_serializing_if = "is_zero_u32")]
     pub dependency_parts: u32,
-    /// The controller to whose allotment of its team's quota it is charged.
+    /// The controller to whose allotment of the team's quota the job is charged. None if the job is charged to no
+    /// allotment: quotas were not in use at the controller that accepted the job, or an earlier version wrote the
+    /// record.
     #[serde(rename = "Quota", default, skip_serializing_if = "Option::is_none")]
     pub charged_to: Option<Rc<str>>,
 }
@@ -80,42 +85,44 @@
 /// How a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobEnd {
-    /// All its tasks completed.
+    /// All tasks of the job completed.
     #[serde(rename = "done")]
     Done,
-    /// Its user cancelled it, or a job that it depends on is cancelled.
+    /// The user cancelled the job, or a job that it depends on was cancelled.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// The record of a job's end. It is created once, by whoever comes first, and never changes.
+/// The record of a job's end. The first controller that determines the end creates the record, which never changes
+/// afterwards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndRecord {
     /// How the job ended.
     #[serde(rename = "end")]
     pub end: JobEnd,
-    /// How many of its tasks were done.
+    /// How many of the job's tasks had completed by then.
     #[serde(rename = "done")]
     pub tasks_done: u32,
-    /// Time of day, in milliseconds, unless an earlier version wrote it.
+    /// Unix time of the end, in milliseconds. None if an earlier version wrote the record.
     #[serde(rename = "at_ms", default, skip_serializing_if = "Option::is_none")]
     pub ended_unix_ms: Option<u64>,
 }
 
-/// A record of the assignment log: changes of tasks of many jobs, written compactly, as much must fit into one value.
+/// A record of the assignment log: state changes of tasks of many jobs. The form is compact so that many changes fit
+/// into one value.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct AssignmentRecord {
-    /// The number of the oldest record that is valid when this one is written. A deleted record may come back when
-    /// its transaction is applied once more: what it says is then no longer so.
+    /// The number of the oldest record that is valid when this record is written. A deleted record reappears if a late
+    /// copy of its transaction is applied; its content is outdated then and must be ignored.
     #[serde(rename = "o", default, skip_serializing_if = "is_zero_u64")]
     pub oldest_valid: u64,
-    /// Names of zones.
+    /// Names of the zones that `machines` refers to by index.
     #[serde(rename = "z", default, skip_serializing_if = "Vec::is_empty")]
     pub zones: Vec<String>,
-    /// Machines on which tasks are.
+    /// The machines that `jobs` refers to by index.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
     pub machines: Vec<MachineEntry>,
-    /// The tasks, by job and attempt.
+    /// State changes of tasks, by job and attempt.
     #[serde(rename = "j", default)]
     pub jobs: Vec<JobAssignments>,
 }
@@ -125,7 +132,7 @@
 pub struct MachineEntry {
     /// The machine's name.
     pub name: String,
-    /// Index of its zone in the record's list of zones.
+    /// Index of the machine's zone in the record's list of zones.
     pub zone_index: u32,
 }
 
@@ -142,22 +149,23 @@
     }
 }
 
-/// What became of tasks of a job.
+/// State changes of tasks of one job. Assignment records and relay records hold them.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobAssignments {
     /// The job's id.
     #[serde(rename = "i")]
     pub id: String,
-    /// The attempt of the tasks that may be on a machine; of a relay, of those that completed.
+    /// The attempt number: in an assignment record that of the tasks in `assigned`, in a relay record that of the tasks
+    /// in `done`.
     #[serde(rename = "a", default, skip_serializing_if = "is_zero_u64")]
     pub attempt: u64,
     /// Tasks that may be on a machine.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
     pub assigned: Vec<AssignedRange>,
-    /// Tasks that are done.
+    /// Tasks that have completed.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<TaskRange>,
-    /// Tasks that are on no machine any more.
+    /// Tasks that are no longer on a machine and have not completed.
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     pub released: Vec<TaskRange>,
 }
@@ -168,12 +176,12 @@
 pub struct TaskRange {
     /// The first task's number.
     pub first: u32,
-    /// How many tasks there are.
+    /// The number of tasks.
     pub count: u32,
 }
 
 impl TaskRange {
-    /// A range of one task.
+    /// Returns a range of one task.
     pub fn single(task: u32) -> Self {
         TaskRange {
             first: task,
@@ -181,17 +189,17 @@
         }
     }
 
-    /// Whether a task is the one right after the range.
+    /// Returns whether a task is the first one after the range.
     pub fn is_followed_by(&self, task: u32) -> bool {
         self.first + self.count == task
     }
 
-    /// The tasks' numbers.
+    /// Returns the numbers of the tasks.
     pub fn tasks(&self) -> Range<u32> {
         self.tasks_below(u32::MAX)
     }
 
-    /// The tasks' numbers below `task_count`: a stored range may go beyond its job's tasks.
+    /// Returns the numbers of the tasks that are below `task_count`, as a stored range may exceed the job's tasks.
     pub fn tasks_below(&self, task_count: u32) -> Range<u32> {
         self.first..self.first.saturating_add(self.count).min(task_count)
     }
@@ -234,18 +242,18 @@
     }
 }
 
-fn is_zero_u32(n: &u32) -> bool {
-    *n == 0
+fn is_zero_u32(value: &u32) -> bool {
+    *value == 0
 }
 
-fn is_zero_u64(n: &u64) -> bool {
-    *n == 0
+fn is_zero_u64(value: &u64) -> bool {
+    *value == 0
 }
 
-/// Decodes a stored value. One that can't be decoded is logged and then treated as if it weren't there: a later
-/// version may have written it.
+/// Decodes a stored value. A value that can't be decoded is logged and treated as absent, as a later version may have
+/// written it.
 pub fn decode<T: DeserializeOwned>(value: &RawValue) -> Option<T> {
     serde_json::from_str(value.get())
-        .inspect_err(|error| tracing::error!(%error, "stored value not understood"))
+        .inspect_err(|error| tracing::error!(%error, "stored value cannot be decoded"))
         .ok()
 }
--- a/src/store/replica.rs
+++ b/src/store/replica.rs
@@ -1,4 +1,5 @@
-//! A controller's replica of what the state service holds: first read page by page, then maintained by a watch.
+//! A controller's replica of the content of the state service. The replica is loaded page by page, then kept current by
+//! a watch.
 
 mod assignments;
 mod dependencies;
@@ -21,29 +22,29 @@
 use crate::protocol::cloud::MachineType;
 use crate::runtime::Time;
 
-/// What a change of the store was about.
+/// A change of the replica that the controller has to act on.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReplicaEvent {
     /// A job was stored, or its record was deleted.
     Job(Rc<str>),
     /// A job's end was stored.
     JobEnd(Rc<str>),
-    /// There is a new leader, or none any more.
+    /// The leader's record was stored or deleted.
     Leader,
-    /// The machine types were stored.
+    /// The machine types were stored or deleted.
     MachineTypes,
-    /// A controller requests that the leader steps down.
+    /// A controller requested that the leader steps down.
     StepDownRequest(StepDownRequest),
-    /// A delegate reports to the leader.
+    /// A delegate reported to the leader.
     Relay(RelayRecord),
 }
 
 /// A record with the revision of its key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Versioned<T> {
-    /// The record.
+    /// The decoded value of the key.
     pub record: T,
-    /// The revision at which the record's key was last changed.
+    /// The revision at which the key was last changed.
     pub revision: u64,
 }
 
@@ -54,30 +55,32 @@
     pub revision: u64,
     /// Jobs by id.
     pub jobs: HashMap<Rc<str>, ReplicatedJob>,
-    /// The leader, if there is one; the revision is its fencing token.
+    /// The leader's record, whose revision is the fencing token; None while there is no leader.
     pub leader: Option<Versioned<LeaderRecord>>,
-    /// The machine types, once one of the controllers has stored them.
+    /// The machine types; None until a controller has stored them.
     pub machine_types: Option<Rc<Vec<MachineType>>>,
-    /// Delegations by their keys, those of earlier leaders and revoked ones included.
+    /// Delegations by their keys, including revoked ones and those of earlier leaders.
     pub delegations: BTreeMap<String, Versioned<DelegationRecord>>,
-    /// Which records of the assignment log are stored, and which of them are valid.
+    /// The records of the assignment log that are stored, and which of them are valid.
     pub assignments: AssignmentRecords,
-    /// Which blocked jobs depend on which jobs.
+    /// The dependencies of the blocked jobs.
     dependencies: DependencyGraph,
-    /// Whether the initial read is complete: before that, a job's dependencies may not be known yet.
+    /// Whether the initial load is complete. Until then, a job may be known before the jobs that it depends on.
     is_loaded: bool,
-    /// Keys of dependency parts whose jobs are gone.
+    /// Keys of dependency parts whose job records are deleted; a new leader deletes these keys.
     pub orphaned_dependency_keys: BTreeSet<String>,
-    /// The quota accounts and their use, if quotas are enabled at this controller.
+    /// The quota accounts and their usage; None if quotas are not enabled at this controller.
     pub quota: Option<Ledger>,
-    /// Whether quotas are in force, be they enabled at this controller or not.
+    /// Whether quotas are in force, that is, whether quota settings are stored. They may be in force even if this
+    /// controller has quotas disabled.
     pub has_quota_settings: bool,
-    /// The moment at which changes are applied.
+    /// The time at which changes are applied, by the steady clock. The caller sets it before it applies a watch's
+    /// changes.
     pub now: Time,
 }
 
 impl StateReplica {
-    /// An empty replica that holds the quota accounts too.
+    /// Returns an empty replica that also maintains the quota accounts.
     pub fn with_quota() -> Self {
         StateReplica {
             quota: Some(Ledger::default()),
@@ -85,7 +88,8 @@
         }
     }
 
-    /// Applies a key's new value at a revision, or its deletion.
+    /// Applies a change of a key: its new value as of a revision, or its deletion if `value` is None. Returns the event
+    /// that the controller has to act on, if any.
     pub fn apply(
         &mut self,
         key: &str,
@@ -123,7 +127,7 @@
 
     fn apply_leader(&mut self, value: Option<&RawValue>, revision: u64) -> Option<ReplicaEvent> {
         let known_revision = self.leader.as_ref().map_or(0, |leader| leader.revision);
-        // Events replayed after a reload may be older than what the reload showed.
+        // After a reload, the watch replays events that may be older than the record that the reload read.
         if revision < known_revision {
             return None;
         }
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Every change up to a revision of the store has been applied.
+    /// Records that every change up to a revision of the store has been applied.
     pub fn advance_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
         if let Some(ledger) = &mut self.quota {
@@ -152,28 +156,32 @@
         }
     }
 
-    /// The initial read is complete: derives what follows from it. `unix_ms` is the time of day at the moment `now`;
-    /// stored times of day are converted to moments by it, as far as the controllers' clocks agree.
+    /// Completes the initial load: drops obsolete task states, sets the submission and ready times of jobs, and builds
+    /// the dependency graph.
+    ///
+    /// `unix_ms` is the Unix time at `now` and serves to convert stored Unix times to times of this controller's steady
+    /// clock. The conversion is accurate only as far as the Unix clocks of the controllers agree.
     pub fn finish_load(&mut self, now: Time, unix_ms: u64) {
-        self.assignments.drop_obsolete(&mut self.jobs);
+        self.assignments.drop_obsolete_tasks(&mut self.jobs);
         self.is_loaded = true;
-        let moment_of = |stored_ms: u64| now - unix_ms.saturating_sub(stored_ms) as f64 / 1000.0;
-        let blocked = self.restore_submission_times(moment_of);
+        let steady_time_of =
+            |stored_ms: u64| now - unix_ms.saturating_sub(stored_ms) as f64 / 1000.0;
+        let blocked = self.restore_submission_times(steady_time_of);
         for id in &blocked {
             self.add_dependencies(id);
         }
-        self.restore_ready_times(now, moment_of);
+        self.restore_ready_times(now, steady_time_of);
     }
 
-    /// Sets the submission times of the jobs that haven't ended; returns those that are blocked, in the order of
-    /// acceptance: jobs were accepted after those that they depend on.
-    fn restore_submission_times(&mut self, moment_of: impl Fn(u64) -> Time) -> Vec<Rc<str>> {
+    /// Sets the submission times of the jobs that haven't ended. Returns the blocked ones in order of acceptance, so
+    /// that each job comes after the jobs that it depends on.
+    fn restore_submission_times(&mut self, steady_time_of: impl Fn(u64) -> Time) -> Vec<Rc<str>> {
         let mut blocked: Vec<(u64, Rc<str>)> = Vec::new();
         for (id, job) in &mut self.jobs {
             if job.spec.is_none() || job.end.is_some() {
                 continue;
             }
-            job.submitted_at = job.submitted_unix_ms.map(&moment_of);
+            job.submitted_at = job.submitted_unix_ms.map(&steady_time_of);
             if job.is_blocked {
                 blocked.push((job.accepted_revision, id.clone()));
             }
@@ -182,8 +190,9 @@
         blocked.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// A job whose dependencies are all done has been ready since the last of these ended.
-    fn restore_ready_times(&mut self, now: Time, moment_of: impl Fn(u64) -> Time) {
+    /// Sets the ready times of jobs whose dependencies were all done before the load: such a job has been ready since
+    /// the last of its dependencies ended.
+    fn restore_ready_times(&mut self, now: Time, steady_time_of: impl Fn(u64) -> Time) {
         for id in self.take_readiness_changes(now).ready {
             let Some(spec) = self.jobs.get(&id).and_then(|job| job.spec.clone()) else {
                 continue;
@@ -194,7 +203,7 @@
                 .filter_map(|dependency| self.jobs.get(dependency.as_str())?.end);
             let last_ended = ends.map(|end| end.ended_unix_ms).max().flatten();
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.ready_at = last_ended.map(&moment_of).or(job.ready_at);
+                job.ready_at = last_ended.map(&steady_time_of).or(job.ready_at);
             }
         }
     }
--- a/src/store/replica/assignments.rs
+++ b/src/store/replica/assignments.rs
@@ -1,4 +1,4 @@
-//! The assignment log in the replica: which of its records are stored, which are valid, and what they say of tasks.
+//! The assignment log in the replica: which of its records are stored and valid, and the task states that they hold.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -8,7 +8,8 @@
 use super::{MachineLocation, RecordedTask, ReplicatedJob};
 use crate::store::records::{AssignmentRecord, JobAssignments, MachineEntry, decode};
 
-/// The stored records of the assignment log. What they say of tasks is kept with the jobs.
+/// Numbers of the stored records of the assignment log. The task states from the records are kept in the jobs, see
+/// [`ReplicatedJob::tasks`].
 #[derive(Debug, Default)]
 pub struct AssignmentRecords {
     numbers: BTreeSet<u64>,
@@ -16,12 +17,12 @@
 }
 
 impl AssignmentRecords {
-    /// Numbers of all stored records, valid or not, in order.
+    /// Returns the numbers of all stored records, valid or not, in ascending order.
     pub fn numbers(&self) -> impl Iterator<Item = u64> {
         self.numbers.iter().copied()
     }
 
-    /// The number of the oldest valid record, as far as known.
+    /// Returns the number of the oldest valid record, according to the records applied so far.
     pub fn oldest_valid(&self) -> u64 {
         self.oldest_valid
     }
@@ -29,38 +30,38 @@
     /// Applies a record, or its deletion.
     pub(super) fn apply(
         &mut self,
-        number: u64,
+        record_number: u64,
         value: Option<&RawValue>,
         jobs: &mut HashMap<Rc<str>, ReplicatedJob>,
     ) {
         let Some(value) = value else {
-            self.numbers.remove(&number);
+            self.numbers.remove(&record_number);
             return;
         };
-        self.numbers.insert(number);
+        self.numbers.insert(record_number);
         let Some(record) = decode::<AssignmentRecord>(value) else {
             return;
         };
         self.oldest_valid = self.oldest_valid.max(record.oldest_valid);
-        // A deleted record comes back if its transaction is applied once more: it must not count then.
-        if number >= self.oldest_valid {
-            apply_record(number, &record, jobs);
+        // A deleted record reappears if a late copy of its transaction is applied; its task states are outdated then.
+        if record_number >= self.oldest_valid {
+            apply_record(record_number, &record, jobs);
         }
     }
 
-    /// Drops what only records that are no longer valid say: pages come in the order of keys, and which records these
-    /// are may be known by the last page only.
-    pub(super) fn drop_obsolete(&self, jobs: &mut HashMap<Rc<str>, ReplicatedJob>) {
+    /// Drops task states that come from records that are no longer valid. The initial load needs this: it reads records
+    /// in the order of their keys, so a record may be applied before the one that makes it invalid.
+    pub(super) fn drop_obsolete_tasks(&self, jobs: &mut HashMap<Rc<str>, ReplicatedJob>) {
         for job in jobs.values_mut() {
-            job.drop_obsolete(self.oldest_valid);
+            job.drop_obsolete_tasks(self.oldest_valid);
         }
     }
 }
 
-/// Applies a valid record. What it says of jobs that are gone is of no use; a job not yet known, as while pages are
-/// read, comes once more by the watch, and so does the record.
+/// Applies a valid record, except for jobs that are not in the replica. Such a job has either been deleted, or has not
+/// been read yet during the initial load; in the latter case the watch delivers the job and then the record again.
 fn apply_record(
-    number: u64,
+    record_number: u64,
     record: &AssignmentRecord,
     jobs: &mut HashMap<Rc<str>, ReplicatedJob>,
 ) {
@@ -72,7 +73,7 @@
         let Some(task_count) = job.spec.as_ref().map(|spec| spec.tasks) else {
             continue;
         };
-        apply_assignments(job, task_count, number, assignments, &locations);
+        apply_assignments(job, task_count, record_number, assignments, &locations);
     }
 }
 
@@ -96,7 +97,7 @@
 fn apply_assignments(
     job: &mut ReplicatedJob,
     task_count: u32,
-    number: u64,
+    record_number: u64,
     assignments: &JobAssignments,
     locations: &[Rc<MachineLocation>],
 ) {
@@ -107,7 +108,11 @@
         for task in range.tasks.tasks_below(task_count) {
             let location = location.clone();
             let attempt = assignments.attempt;
-            job.record_task(task, number, RecordedTask::Assigned { location, attempt });
+            job.record_task(
+                task,
+                record_number,
+                RecordedTask::Assigned { location, attempt },
+            );
         }
     }
     for (ranges, state) in [
@@ -118,7 +123,7 @@
             .iter()
             .flat_map(|range| range.tasks_below(task_count))
         {
-            job.record_task(task, number, state.clone());
+            job.record_task(task, record_number, state.clone());
         }
     }
 }
--- a/src/store/replica/dependencies.rs
+++ b/src/store/replica/dependencies.rs
@@ -10,7 +10,7 @@
 use crate::store::records::decode;
 
 impl StateReplica {
-    /// Applies a part of a job's dependencies, or its deletion.
+    /// Applies a part of a job's dependencies, or the deletion of the part.
     pub(super) fn apply_dependency_part(&mut self, key: &str, id: &str, value: Option<&RawValue>) {
         let Some(value) = value else {
             self.orphaned_dependency_keys.remove(key);
@@ -24,11 +24,11 @@
             return;
         }
         job.missing_dependency_parts -= 1;
-        let Some(more) = decode::<Vec<String>>(value) else {
+        let Some(dependencies) = decode::<Vec<String>>(value) else {
             return;
         };
         if let Some(spec) = &mut job.spec {
-            Rc::make_mut(spec).waits_on.extend(more);
+            Rc::make_mut(spec).waits_on.extend(dependencies);
         }
         self.add_dependencies(&id.into());
     }
@@ -38,8 +38,8 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let is_candidate = self.is_loaded && job.is_blocked;
-        let Some(spec) = job.spec.as_ref().filter(|_| is_candidate) else {
+        let can_be_added = self.is_loaded && job.is_blocked;
+        let Some(spec) = job.spec.as_ref().filter(|_| can_be_added) else {
             return;
         };
         if job.end.is_some() || job.missing_dependency_parts > 0 {
@@ -53,7 +53,8 @@
         self.dependencies.add(id, &spec.waits_on, outcome);
     }
 
-    /// The jobs that became ready, or cancelled by a dependency, since this was last called.
+    /// Returns the jobs that became ready, or were cancelled with a dependency, since the last call. Their replicated
+    /// state is updated accordingly, with `now` as the ready time of the jobs that became ready.
     pub fn take_readiness_changes(&mut self, now: Time) -> ReadinessChanges {
         let changes = self.dependencies.take_changes();
         for id in &changes.ready {
--- a/src/store/replica/job.rs
+++ b/src/store/replica/job.rs
@@ -1,4 +1,4 @@
-//! A job in the replica: its record, its end, and what the assignment log says of its tasks.
+//! A job in the replica: its record, its end, and the states of its tasks according to the assignment log.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -10,85 +10,89 @@
 use crate::runtime::Time;
 use crate::store::records::{EndRecord, JobEnd};
 
-/// A machine's name and zone.
+/// A machine and its zone, as the assignment log names them.
 #[derive(Debug, PartialEq, Eq)]
 pub struct MachineLocation {
     /// The machine's name.
     pub machine: String,
-    /// The zone that it is in.
+    /// The name of the zone that the machine is in.
     pub zone: String,
 }
 
-/// State of a task by the newest assignment record that names it.
+/// State of a task according to an assignment record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordedTask {
-    /// On no machine any more.
+    /// The task is no longer on a machine and has not completed.
     Released,
-    /// Completed.
+    /// The task has completed.
     Done,
-    /// It may be on a machine.
+    /// The task may be on a machine.
     Assigned {
-        /// The machine.
+        /// The machine that the task may be on.
         location: Rc<MachineLocation>,
-        /// The attempt that may be there.
+        /// The number of the attempt that may be on the machine.
         attempt: u64,
     },
 }
 
-/// What the assignment log says of a task.
+/// State of a task according to the newest assignment record that names the task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskRecord {
-    /// The number of the newest assignment record that names the task.
+    /// The number of that assignment record.
     pub record_number: u64,
-    /// What that record says.
+    /// The state that the record holds.
     pub state: RecordedTask,
 }
 
-/// A job as stored.
+/// A job as derived from all stored records that concern it.
 #[derive(Debug, Clone, Default)]
 pub struct ReplicatedJob {
-    /// The submission; none once the job's record is deleted, or if only the job's end is known yet.
+    /// The job as its user submitted it. None once the job's record is deleted, or while only the job's end is known.
     pub spec: Option<Rc<Submission>>,
-    /// Revision of the creation of its record, which orders jobs by acceptance.
+    /// The revision at which the job's record was created, which orders jobs by acceptance.
     pub accepted_revision: u64,
-    /// When it was submitted, by this controller's clock; none if that isn't known, as earlier versions stored no time.
+    /// When the job was submitted, by this controller's steady clock. None if the time is unknown, as earlier versions
+    /// did not store it.
     pub submitted_at: Option<Time>,
-    /// Time of day of its submission, in milliseconds, as stored.
+    /// Unix time of the submission, in milliseconds, as stored. None if an earlier version stored the job.
     pub submitted_unix_ms: Option<u64>,
-    /// How it ended, if it did.
+    /// The stored record of the job's end; None until it is stored.
     pub end: Option<EndRecord>,
-    /// Whether it waits for dependencies that aren't done.
+    /// Whether the job is blocked on dependencies that are not done.
     pub is_blocked: bool,
-    /// When the last of its dependencies was done, if it had to wait for any.
+    /// When the last dependency was done, by this controller's steady clock. None while the job is blocked, and if it
+    /// never was.
     pub ready_at: Option<Time>,
-    /// Whether a dependency, direct or transitive, is cancelled: so is this job, though its own end is not stored yet.
-    /// It never began, and that never changes.
+    /// Whether a direct or transitive dependency is cancelled. This job is then cancelled too, although its own end is
+    /// not stored yet. No task of it has ever been started, and none ever will be.
     pub dependency_cancelled: bool,
-    /// How many values beside its own hold dependencies.
+    /// How many values besides the job's own record hold dependencies of the job.
     pub dependency_parts: u32,
-    /// How many of those values are not known yet.
+    /// How many of the values counted by `dependency_parts` have not been applied yet.
     pub(super) missing_dependency_parts: u32,
-    /// What it is charged to its team's quota, until it is done or its record is deleted.
+    /// The job's charge to its team's quota, until the job is done or its record is deleted. None if quotas are not
+    /// enabled at this controller.
     pub(super) charge: Option<Charge>,
-    /// Tasks that the assignment log names, by number.
+    /// States of the tasks that the assignment log names, by task number.
     pub tasks: BTreeMap<u32, TaskRecord>,
     done_tasks: u32,
     assigned_tasks: u32,
 }
 
-/// What a job is charged to its team's quota.
+/// A job's charge to its team's quota.
 #[derive(Debug, Clone)]
 pub(super) struct Charge {
-    /// The team.
+    /// The name of the team.
     pub team: Rc<str>,
-    /// The controller to whose allotment it is charged; none if an earlier version stored the job.
+    /// The controller to whose allotment the job is charged, see
+    /// [`charged_to`](crate::store::records::JobRecord::charged_to).
     pub node: Option<Rc<str>>,
-    /// The amount.
+    /// The resources and counts that are charged.
     pub amount: QuotaAmount,
 }
 
 impl ReplicatedJob {
-    /// A job of which only the end is known.
+    /// Returns a job of which only the end is known.
     pub fn ended(record: EndRecord) -> Self {
         ReplicatedJob {
             end: Some(record),
@@ -96,17 +100,18 @@
         }
     }
 
-    /// Whether its final state is known.
+    /// Returns whether the job's final state is known.
     pub fn has_ended(&self) -> bool {
         self.end.is_some() || self.dependency_cancelled
     }
 
-    /// Whether a user was or may have been told that the job is accepted.
+    /// Returns whether the job's record or its end is stored, so that a user may have received the answer that the job
+    /// is accepted.
     pub fn is_known(&self) -> bool {
         self.spec.is_some() || self.end.is_some()
     }
 
-    /// Its outcome by its own stored end.
+    /// Returns the job's outcome according to its own stored end, disregarding cancelled dependencies.
     pub(super) fn outcome(&self) -> JobOutcome {
         match self.end.map(|record| record.end) {
             None => JobOutcome::Open,
@@ -115,7 +120,7 @@
         }
     }
 
-    /// The job's state for its user.
+    /// Returns the job's status as its user sees it.
     pub fn status<'a>(&self, id: &'a str) -> JobStatus<'a> {
         if let Some(record) = self.end {
             let state = match record.end {
@@ -144,12 +149,12 @@
         }
     }
 
-    /// How many of its tasks are done.
+    /// Returns how many of the job's tasks have completed.
     pub fn tasks_done(&self) -> u32 {
         self.end.map_or(self.done_tasks, |record| record.tasks_done)
     }
 
-    /// Takes in what an assignment record says of a task, unless a newer one named it.
+    /// Records the state of a task from an assignment record, unless a newer record that names the task was applied.
     pub(super) fn record_task(&mut self, task: u32, record_number: u64, state: RecordedTask) {
         let known = self.tasks.get(&task);
         if known.is_some_and(|known| known.record_number > record_number) {
@@ -165,7 +170,7 @@
         }
     }
 
-    /// Counts a task in a state in, or out with -1.
+    /// Adds `change`, 1 or -1, to the count of tasks in a state. Released tasks are not counted.
     fn adjust_counts(&mut self, state: &RecordedTask, change: i32) {
         let count = match state {
             RecordedTask::Released => return,
@@ -175,8 +180,8 @@
         *count = count.saturating_add_signed(change);
     }
 
-    /// Drops what assignment records older than `oldest_valid` said.
-    pub(super) fn drop_obsolete(&mut self, oldest_valid: u64) {
+    /// Drops the task states from assignment records older than `oldest_valid`.
+    pub(super) fn drop_obsolete_tasks(&mut self, oldest_valid: u64) {
         let obsolete: Vec<u32> = self
             .tasks
             .iter()
@@ -190,7 +195,7 @@
         }
     }
 
-    /// Drops what the assignment log said.
+    /// Drops all task states.
     pub(super) fn clear_tasks(&mut self) {
         self.tasks.clear();
         self.done_tasks = 0;
--- a/src/store/replica/jobs.rs
+++ b/src/store/replica/jobs.rs
@@ -1,4 +1,4 @@
-//! Job records and records of their ends in the replica.
+//! Applies job records, and records of the ends of jobs, to the replica.
 
 use std::rc::Rc;
 
@@ -26,8 +26,8 @@
 
     fn insert_job(&mut self, id: &Rc<str>, value: &RawValue, revision: u64) {
         let job = self.jobs.entry(id.clone()).or_default();
-        // A job that has ended may still be on machines, and count against its team's limit: when everything is read
-        // anew, in the order of keys, its end comes first.
+        // The record of an ended job is applied too: the job's tasks may still be on machines and count against the
+        // team's limit. When all keys are loaded, in key order, the end of a job comes before the job's record.
         if job.spec.is_some() {
             return;
         }
@@ -70,7 +70,7 @@
         let job = self.jobs.entry(id.clone()).or_default();
         job.end = Some(record);
         if record.end == JobEnd::Done {
-            // Tasks of a cancelled job may still be on machines: its charge lasts as long as its record.
+            // The tasks of a cancelled job may still be on machines, so its charge is kept until its record is deleted.
             let charge = job.charge.take();
             self.release(charge);
         }
--- a/src/store/replica/quota_usage.rs
+++ b/src/store/replica/quota_usage.rs
@@ -1,4 +1,4 @@
-//! Quota accounts in the replica, and what jobs are charged to them.
+//! Quota accounts in the replica, and the charges of jobs to them.
 
 use std::rc::Rc;
 
@@ -27,14 +27,14 @@
         }
     }
 
-    /// Gives back what a job was charged.
+    /// Releases a job's charge to its team's quota, if there is one.
     pub(super) fn release(&mut self, charge: Option<Charge>) {
         if let (Some(ledger), Some(charge)) = (&mut self.quota, charge) {
             ledger.release(&charge.team, charge.node.as_ref(), charge.amount, self.now);
         }
     }
 
-    /// Applies an account's new value, or its deletion.
+    /// Applies an account's new value as of a revision, or the deletion of the account.
     pub(super) fn apply_quota(&mut self, account: &str, value: Option<&RawValue>, revision: u64) {
         let Some(change) = decode_change(account, value) else {
             return;
--- a/src/store/replica/tests.rs
+++ b/src/store/replica/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the replica.
-
 use super::*;
 use crate::store::keys;
 use crate::test_support::job;
@@ -8,8 +6,8 @@
     RawValue::from_string(text.to_owned()).unwrap()
 }
 
-/// A deleted record of the assignment log reappears when its transaction is applied once more. It once assigned a task
-/// again to a machine that the task had long left.
+/// A deleted record of the assignment log reappears when a late copy of its transaction is applied. If its task states
+/// counted, a task would be assigned again to a machine that it left long before.
 #[test]
 fn a_deleted_assignment_record_that_reappears_has_no_effect() {
     let spec = serde_json::to_string(&job("j-1", 2)).unwrap();
@@ -32,7 +30,7 @@
     assert_eq!(done_and_running(&replica), (1, 0));
     replica.apply(&keys::assignment_record(8), Some(&raw(old)), 6);
     assert_eq!(done_and_running(&replica), (1, 0));
-    // Read anew, in the order of keys: the old record comes before the one that invalidates it.
+    // A load reads the records in key order: the old record comes before the one that makes it invalid.
     let mut fresh = StateReplica::default();
     fresh.apply(&keys::job("j-1"), Some(&raw(&spec)), 1);
     fresh.apply(&keys::assignment_record(8), Some(&raw(old)), 6);
