--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -1,5 +1,5 @@
-//! Leadership: the leader is the controller whose record is stored under the leader's key, which is attached to a
-//! lease. The revision at which the key was created is the fencing token.
+//! Leadership: a controller becomes the leader by creating the leader's key, which holds its record and is attached to
+//! its lease. The revision at which the key was created is the fencing token.
 
 use std::rc::Rc;
 
@@ -20,7 +20,8 @@
     pub fencing_token: u64,
     /// The id of the lease that the leader's key is attached to.
     pub lease: u64,
-    /// When the last successful renewal of the lease was sent, or before the first one, when the lease was requested.
+    /// When the last successful renewal of the lease was sent. Until the first renewal, the time at which the lease was
+    /// requested.
     pub renewal_sent_at: Time,
 }
 
@@ -56,7 +57,7 @@
 pub enum RenewalOutcome {
     /// The lease is renewed.
     Renewed,
-    /// The renewal failed or was not answered. The lease may not have expired, and a later renewal may succeed.
+    /// The renewal failed or was not answered. The lease may still be valid, and a later renewal may succeed.
     Unknown,
     /// The lease has expired, which ends the term.
     Expired,
@@ -65,10 +66,11 @@
 /// Returns whether this controller should let other controllers campaign first, because one of them is better placed to
 /// lead.
 ///
-/// Workers that can't reach their controller try the next one, assumed here to be the next by name, and every attempt
-/// takes several seconds. When the zones can't reach each other, a delegate therefore renews the workers' leases in
-/// time only if the controller that follows the leader by name is in another zone than the leader. A controller
-/// whose successor is in its own zone yields if some other controller's successor is in a different zone.
+/// Workers that can't reach their controller try the next one, assumed here to be the next by name (the first by name
+/// follows the last), and every attempt takes several seconds. When the zones can't reach each other, a delegate
+/// therefore renews the workers' leases in time only if the controller that follows the leader by name is in another
+/// zone than the leader. A controller whose successor is in its own zone yields if some other controller's successor is
+/// in a different zone.
 pub fn yields_to_peers(config: &Config) -> bool {
     let own = (config.node.as_str(), config.zone.as_str());
     let peers = config.peers.iter();
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -16,16 +16,16 @@
 pub enum StoreError {
     /// The service answered with an HTTP status that the call doesn't expect, such as 429 above its rate limit or 503
     /// while it is unavailable.
-    #[error("state service answered with unexpected status {0}")]
+    #[error("unexpected HTTP status {0}")]
     Status(u16),
-    /// The service could not be reached, or its response did not arrive or is malformed.
+    /// The service could not be reached, or its response did not arrive, is malformed or is too large.
     #[error(transparent)]
     Call(#[from] CallError),
     /// The body of the answer doesn't have the form that the protocol defines.
-    #[error("answer of the state service cannot be decoded: {0}")]
+    #[error("answer cannot be decoded: {0}")]
     Decode(#[source] serde_json::Error),
     /// The request can't be serialized.
-    #[error("request to the state service cannot be serialized: {0}")]
+    #[error("request cannot be serialized: {0}")]
     Encode(#[source] serde_json::Error),
 }
 
@@ -58,7 +58,7 @@
 
 /// The fraction of the service's request limit that all controllers together use.
 const REQUEST_LIMIT_SHARE: f64 = 0.9;
-/// Time limit of every call except a watch, in durations of the leader's lease.
+/// Time limit of every call except a watch, as a fraction of the duration of the leader's lease.
 const CALL_TIMEOUT_LEADER_LEASES: f64 = 0.25;
 /// Extra time that the answer to a watch may take beyond the time limit sent with the watch, in seconds.
 const WATCH_GRACE_S: f64 = 2.0;
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -54,7 +54,8 @@
     format!("{ROOT}{JOB}/{id}")
 }
 
-/// The key of a part of a job's dependencies that don't fit into the job's own value; parts are numbered from 1.
+/// The key of a part of a job's dependencies. The parts hold those that don't fit into the job's own value, and are
+/// numbered from 1.
 pub fn dependency_part(id: &str, part: u32) -> String {
     format!("{ROOT}{DEPENDENCY_PART}/{id}/{part}")
 }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -55,7 +55,7 @@
     /// Tasks that completed, by job and attempt.
     #[serde(rename = "jobs")]
     pub jobs: Vec<JobAssignments>,
-    /// Machines with the agent epochs in which their workers have seen the leader's fencing token.
+    /// Pairs of a machine's name and the agent epoch in which its worker has seen the leader's fencing token.
     #[serde(rename = "sessions", default)]
     pub agent_epochs: Vec<(String, u64)>,
 }
@@ -93,8 +93,8 @@
     Cancelled,
 }
 
-/// The record of a job's end. The first controller that determines the end creates the record, which never changes
-/// afterwards.
+/// The record of a job's end. Several controllers may try to create it; the first transaction that is applied
+/// determines the end, and the record never changes afterwards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndRecord {
     /// How the job ended.
@@ -155,8 +155,7 @@
     /// The job's id.
     #[serde(rename = "i")]
     pub id: String,
-    /// The attempt number: in an assignment record that of the tasks in `assigned`, in a relay record that of the tasks
-    /// in `done`.
+    /// The attempt number of the tasks in `assigned` (assignment records) or in `done` (relay records).
     #[serde(rename = "a", default, skip_serializing_if = "is_zero_u64")]
     pub attempt: u64,
     /// Tasks that may be on a machine.
@@ -250,8 +249,8 @@
     *value == 0
 }
 
-/// Decodes a stored value. A value that can't be decoded is logged and treated as absent, as a later version may have
-/// written it.
+/// Decodes a stored value. If it can't be decoded, the error is logged and the value is treated as absent, as a later
+/// version may have written it.
 pub fn decode<T: DeserializeOwned>(value: &RawValue) -> Option<T> {
     serde_json::from_str(value.get())
         .inspect_err(|error| tracing::error!(%error, "stored value cannot be decoded"))
--- a/src/store/replica.rs
+++ b/src/store/replica.rs
@@ -22,7 +22,7 @@
 use crate::protocol::cloud::MachineType;
 use crate::runtime::Time;
 
-/// A change of the replica that the controller has to act on.
+/// A change of the store that the controller has to act on.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReplicaEvent {
     /// A job was stored, or its record was deleted.
@@ -65,17 +65,18 @@
     pub assignments: AssignmentRecords,
     /// The dependencies of the blocked jobs.
     dependencies: DependencyGraph,
-    /// Whether the initial load is complete. Until then, a job may be known before the jobs that it depends on.
+    /// Whether all pages are loaded. Until then, a job may be known before the jobs that it depends on.
     is_loaded: bool,
-    /// Keys of dependency parts whose job records are deleted; a new leader deletes these keys.
+    /// Keys of stored dependency parts whose jobs have no record, usually because it was deleted; a new leader deletes
+    /// these keys.
     pub orphaned_dependency_keys: BTreeSet<String>,
     /// The quota accounts and their usage; None if quotas are not enabled at this controller.
     pub quota: Option<Ledger>,
     /// Whether quotas are in force, that is, whether quota settings are stored. They may be in force even if this
     /// controller has quotas disabled.
     pub has_quota_settings: bool,
-    /// The time at which changes are applied, by the steady clock. The caller sets it before it applies a watch's
-    /// changes.
+    /// The time at which changes are applied, by the steady clock; the quota accounts record releases at this time. The
+    /// caller sets it when it creates the replica, and again before it applies a watch's changes.
     pub now: Time,
 }
 
@@ -156,8 +157,8 @@
         }
     }
 
-    /// Completes the initial load: drops obsolete task states, sets the submission and ready times of jobs, and builds
-    /// the dependency graph.
+    /// Completes the load of all pages: drops obsolete task states, sets the submission and ready times of jobs, and
+    /// builds the dependency graph.
     ///
     /// `unix_ms` is the Unix time at `now` and serves to convert stored Unix times to times of this controller's steady
     /// clock. The conversion is accurate only as far as the Unix clocks of the controllers agree.
--- a/src/store/replica/assignments.rs
+++ b/src/store/replica/assignments.rs
@@ -8,8 +8,8 @@
 use super::{MachineLocation, RecordedTask, ReplicatedJob};
 use crate::store::records::{AssignmentRecord, JobAssignments, MachineEntry, decode};
 
-/// Numbers of the stored records of the assignment log. The task states from the records are kept in the jobs, see
-/// [`ReplicatedJob::tasks`].
+/// Numbers of the stored records of the assignment log, and of the oldest valid one. The task states from the records
+/// are kept in the jobs, see [`ReplicatedJob::tasks`].
 #[derive(Debug, Default)]
 pub struct AssignmentRecords {
     numbers: BTreeSet<u64>,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Drops task states that come from records that are no longer valid. The initial load needs this: it reads records
-    /// in the order of their keys, so a record may be applied before the one that makes it invalid.
+    /// Drops task states that come from records that are no longer valid. A load of the replica needs this: it reads
+    /// records in the order of their keys, so a record may be applied before the one that makes it invalid.
     pub(super) fn drop_obsolete_tasks(&self, jobs: &mut HashMap<Rc<str>, ReplicatedJob>) {
         for job in jobs.values_mut() {
             job.drop_obsolete_tasks(self.oldest_valid);
@@ -59,7 +59,7 @@
 }
 
 /// Applies a valid record, except for jobs that are not in the replica. Such a job has either been deleted, or has not
-/// been read yet during the initial load; in the latter case the watch delivers the job and then the record again.
+/// been read yet by a load in progress; in the latter case the watch delivers the job and then the record again.
 fn apply_record(
     record_number: u64,
     record: &AssignmentRecord,
--- a/src/store/replica/dependencies.rs
+++ b/src/store/replica/dependencies.rs
@@ -33,13 +33,14 @@
         self.add_dependencies(&id.into());
     }
 
-    /// Adds a blocked job to the dependency graph, once all of its dependencies are known.
+    /// Adds a blocked job to the dependency graph. Does nothing before the replica is loaded and all parts of the job's
+    /// dependencies have been applied, or if the job has ended.
     pub(super) fn add_dependencies(&mut self, id: &Rc<str>) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let can_be_added = self.is_loaded && job.is_blocked;
-        let Some(spec) = job.spec.as_ref().filter(|_| can_be_added) else {
+        let is_blocked_and_loaded = self.is_loaded && job.is_blocked;
+        let Some(spec) = job.spec.as_ref().filter(|_| is_blocked_and_loaded) else {
             return;
         };
         if job.end.is_some() || job.missing_dependency_parts > 0 {
@@ -53,8 +54,8 @@
         self.dependencies.add(id, &spec.waits_on, outcome);
     }
 
-    /// Returns the jobs that became ready, or were cancelled with a dependency, since the last call. Their replicated
-    /// state is updated accordingly, with `now` as the ready time of the jobs that became ready.
+    /// Returns the jobs that became ready, or were cancelled because a dependency was, since the last call. Updates
+    /// these jobs in the replica, with `now` as the ready time of the jobs that became ready.
     pub fn take_readiness_changes(&mut self, now: Time) -> ReadinessChanges {
         let changes = self.dependencies.take_changes();
         for id in &changes.ready {
--- a/src/store/replica/job.rs
+++ b/src/store/replica/job.rs
@@ -52,25 +52,26 @@
     /// The revision at which the job's record was created, which orders jobs by acceptance.
     pub accepted_revision: u64,
     /// When the job was submitted, by this controller's steady clock. None if the time is unknown, as earlier versions
-    /// did not store it.
+    /// did not store it, and if the job ended before the replica was loaded.
     pub submitted_at: Option<Time>,
     /// Unix time of the submission, in milliseconds, as stored. None if an earlier version stored the job.
     pub submitted_unix_ms: Option<u64>,
     /// The stored record of the job's end; None until it is stored.
     pub end: Option<EndRecord>,
-    /// Whether the job is blocked on dependencies that are not done.
+    /// Whether the job is blocked on dependencies that are not done. Has no meaning once the job's own end is
+    /// stored.
     pub is_blocked: bool,
-    /// When the last dependency was done, by this controller's steady clock. None while the job is blocked, and if it
-    /// never was.
+    /// When the last dependency was done, by this controller's steady clock. None while the job is blocked, for a job
+    /// without dependencies, and if the job ended before the replica was loaded.
     pub ready_at: Option<Time>,
-    /// Whether a direct or transitive dependency is cancelled. This job is then cancelled too, although its own end is
-    /// not stored yet. No task of it has ever been started, and none ever will be.
+    /// Whether a direct or transitive dependency is cancelled. This job is then cancelled too, although its own end may
+    /// not be stored yet. No task of it has ever been started, and none ever will be.
     pub dependency_cancelled: bool,
     /// How many values besides the job's own record hold dependencies of the job.
     pub dependency_parts: u32,
     /// How many of the values counted by `dependency_parts` have not been applied yet.
     pub(super) missing_dependency_parts: u32,
-    /// The job's charge to its team's quota, until the job is done or its record is deleted. None if quotas are not
+    /// The job's charge to its team's quota. None once the job is done or its record is deleted, and if quotas are not
     /// enabled at this controller.
     pub(super) charge: Option<Charge>,
     /// States of the tasks that the assignment log names, by task number.
@@ -154,7 +155,7 @@
         self.end.map_or(self.done_tasks, |record| record.tasks_done)
     }
 
-    /// Records the state of a task from an assignment record, unless a newer record that names the task was applied.
+    /// Records the state of a task from an assignment record, unless the known state comes from a newer record.
     pub(super) fn record_task(&mut self, task: u32, record_number: u64, state: RecordedTask) {
         let known = self.tasks.get(&task);
         if known.is_some_and(|known| known.record_number > record_number) {
