--- a/src/test_support.rs
+++ b/src/test_support.rs
@@ -20,7 +20,7 @@
 use crate::store::replica::StateReplica;
 use crate::store::transaction::TxnOutcome;
 
-/// Two machine types.
+/// The machine types of the tests: `small` (8 CPUs, zones north and south) and `big` (64 CPUs, zone north).
 pub fn types() -> Vec<MachineType> {
     let text = r#"{"Rigs":[
         {"Name":"small","Cores":8,"Gpus":0,"MemoryGb":32,"CacheGb":50,"PullGbPerS":1.0,
@@ -30,7 +30,7 @@
     serde_json::from_str::<MachineTypes>(text).unwrap().types
 }
 
-/// An array of `tasks` small tasks.
+/// An array job of team `blue` with the given number of tasks, each of 2 CPUs and 4 GB.
 pub fn job(id: &str, tasks: u32) -> Submission {
     Submission {
         id: id.into(),
@@ -57,27 +57,29 @@
     }
 }
 
-/// An in-memory state service: keys with versions, compare-and-swap transactions.
+/// An in-memory state service with conditional transactions, without leases and watches.
 #[derive(Default)]
 pub struct FakeStore {
+    /// The revision of the last change.
     pub revision: u64,
+    /// The value under each key, and the revision that stored it.
     pub keys: BTreeMap<String, (Box<RawValue>, u64)>,
 }
 
 impl FakeStore {
-    /// Applies a transaction as the service would: all of it, or nothing if a condition fails.
+    /// Applies a transaction like the state service: all changes, or none if a condition fails.
     pub fn apply(&mut self, txn: &Txn) -> TxnOutcome {
-        let stamp = |key: &str| self.keys.get(key).map_or(0, |(_, v)| *v);
+        let revision_of = |key: &str| self.keys.get(key).map_or(0, |(_, revision)| *revision);
         let failed: Vec<String> = txn
             .conditions
             .iter()
-            .filter(|c| stamp(&c.key) != c.revision)
-            .map(|c| c.key.clone())
+            .filter(|condition| revision_of(&condition.key) != condition.revision)
+            .map(|condition| condition.key.clone())
             .collect();
         if !failed.is_empty() {
             return TxnOutcome::Conflict(failed);
         }
-        // A transaction without changes only compares; it does not advance the revision.
+        // A transaction without changes only checks its conditions and does not advance the revision.
         self.revision += u64::from(!txn.changes.is_empty());
         for change in &txn.changes {
             match change {
@@ -106,18 +108,18 @@
         self.put(keys::job(&spec.id), spec);
     }
 
-    /// The replica of a controller that loads the whole store now.
+    /// A replica that has loaded the whole store.
     pub fn replica(&self) -> StateReplica {
-        let mut view = StateReplica::default();
-        for (key, (value, version)) in &self.keys {
-            view.apply(key, Some(value), *version);
+        let mut replica = StateReplica::default();
+        for (key, (value, revision)) in &self.keys {
+            replica.apply(key, Some(value), *revision);
         }
-        view.revision = self.revision;
-        view.finish_load(0.0, 0);
-        view
+        replica.revision = self.revision;
+        replica.finish_load(0.0, 0);
+        replica
     }
 
-    /// Makes a controller the leader and builds its state from the store, with the sample settings.
+    /// Elects a controller with the sample settings; returns its leader state, built from the store.
     pub fn elect(&mut self, host: &str, now: Time) -> Leader {
         self.elect_with(crate::config::tests::sample(), host, now)
     }
@@ -153,19 +155,20 @@
         }
     }
 
-    /// The stored final state of a job.
+    /// How a job has ended according to the store; none while it is open.
     pub fn stored_end(&self, id: &str) -> Option<JobEnd> {
-        self.replica().jobs.get(id)?.end.map(|e| e.end)
+        self.replica().jobs.get(id)?.end.map(|record| record.end)
     }
 }
 
-/// A worker that follows the protocol.
+/// A worker that executes commands at once: its tasks run until a command or [`Self::exit_task`] ends them.
 pub struct FakeWorker {
+    /// The current state of the worker; [`Self::next`] increases its sequence number and returns a copy.
     pub heartbeat: Heartbeat,
 }
 
 impl FakeWorker {
-    /// A worker on a machine of a type.
+    /// A worker in its first agent epoch, on an on-demand machine without tasks.
     pub fn new(machine: &str, type_name: &str, zone: &str) -> Self {
         FakeWorker {
             heartbeat: Heartbeat {
@@ -213,12 +216,12 @@
                     }
                 }
                 Command::Stop { task, attempt, .. } => {
-                    for t in tasks
+                    for status in tasks
                         .iter_mut()
                         .filter(|t| t.task == *task && t.attempt == *attempt)
                     {
-                        t.state = TaskState::Exited;
-                        t.exit_reason.get_or_insert(ExitReason::Stopped);
+                        status.state = TaskState::Exited;
+                        status.exit_reason.get_or_insert(ExitReason::Stopped);
                     }
                 }
                 Command::Forget { task, attempt } => tasks.retain(|t| {
@@ -228,7 +231,7 @@
         }
     }
 
-    /// Sends a heartbeat to a leader and executes the commands of its reply; returns them.
+    /// Sends a heartbeat to a leader and executes the commands of the reply; returns them.
     pub fn send_heartbeat(&mut self, leader: &mut Leader, now: Time) -> Vec<Command> {
         let heartbeat = self.next();
         let Some(mut commands) = leader.on_heartbeat(&heartbeat, HeartbeatOrigin::Periodic, now)
@@ -240,21 +243,21 @@
         commands
     }
 
-    /// Makes a task exit with the given reason.
+    /// Makes all attempts of a task on the machine exit with the given reason.
     pub fn exit_task(&mut self, task: &str, exit_reason: ExitReason) {
-        for t in self.heartbeat.tasks.iter_mut().filter(|t| t.task == task) {
-            t.state = TaskState::Exited;
-            t.exit_reason = Some(exit_reason);
+        for status in self.heartbeat.tasks.iter_mut().filter(|t| t.task == task) {
+            status.state = TaskState::Exited;
+            status.exit_reason = Some(exit_reason);
         }
     }
 
     /// Names of the tasks that have not exited.
     pub fn running(&self) -> Vec<String> {
-        let alive = |t: &&TaskStatus| t.state != TaskState::Exited;
+        let has_not_exited = |t: &&TaskStatus| t.state != TaskState::Exited;
         self.heartbeat
             .tasks
             .iter()
-            .filter(alive)
+            .filter(has_not_exited)
             .map(|t| t.task.clone())
             .collect()
     }
--- a/src/tests/random_faults.rs
+++ b/src/tests/random_faults.rs
@@ -1,6 +1,6 @@
-//! Seeded simulation of controllers, state service, cloud, workers and users with message delay, loss, late copies
-//! and repeats, process pauses, hanging machines, zone partitions and restarts. The rules are checked after every
-//! step.
+//! Simulates controllers, the state service, the cloud, workers and users, with faults drawn at random from a seed:
+//! delayed, lost, late and duplicated messages, crashes and pauses of controllers, hanging machines, worker restarts,
+//! outages of the state service and zone partitions. Every step is followed by a check of the invariants.
 
 mod delivery;
 mod digest;
@@ -34,144 +34,166 @@
 use crate::test_support::{FakeStore, FakeWorker, job};
 
 const STEP_S: f64 = 0.25;
-const FAULTS_S: f64 = 240.0;
-const END_S: f64 = 620.0;
+/// Faults start, and users submit and cancel jobs, only before this time.
+const FAULT_PHASE_S: f64 = 240.0;
+/// A job that has not ended by this time never ends.
+const SIMULATION_END_S: f64 = 620.0;
+/// A worker waits this long for the reply to a heartbeat.
 const REPLY_TIMEOUT_S: f64 = 4.0;
-const DIRECT_TIMEOUT_S: f64 = 1.5;
+/// A leader waits this long for the outcome of direct commands.
+const DIRECT_COMMAND_TIMEOUT_S: f64 = 1.5;
 const NODES: usize = 3;
 const NODE_ZONES: [&str; NODES] = ["north", "south", "north"];
 
-/// The kind of deployment that is simulated.
+/// The kind of deployment that is simulated: settings, number of machines and mix of jobs.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Platform {
-    /// Long leases, a few machines, gangs.
+enum DeploymentKind {
+    /// Long worker leases, few machines, gangs.
     Small,
-    /// Leases of a few heartbeat intervals, zone partitions, many short tasks and no gangs.
+    /// Worker leases of a few heartbeat intervals, zone partitions, more and larger arrays, no gangs.
     Short,
     /// Two machine types, spot machines that are preempted, priorities, checkpoints, deadlines, tasks that fail, and
     /// jobs with dependencies.
     Mixed,
 }
 
-impl Platform {
+impl DeploymentKind {
     fn config(self) -> Config {
         let mut config = crate::config::tests::sample();
-        if self == Platform::Short {
-            let w = &mut config.deployment.workers;
-            (w.heartbeat_interval_s, w.lease_s, w.cancel_s) = (1.0, 10.0, 30.0);
+        if self == DeploymentKind::Short {
+            let workers = &mut config.deployment.workers;
+            (
+                workers.heartbeat_interval_s,
+                workers.lease_s,
+                workers.cancel_s,
+            ) = (1.0, 10.0, 30.0);
             let red = &mut config.deployment.teams[0];
             (red.cpus, red.cpus_max) = (40.0, 120.0);
         }
         config
     }
 
+    /// The largest number of machines that the cloud provides; half of them run from the start.
     fn machines(self) -> usize {
         match self {
-            Platform::Small => 12,
-            Platform::Short => 28,
-            Platform::Mixed => 24,
+            DeploymentKind::Small => 12,
+            DeploymentKind::Short => 28,
+            DeploymentKind::Mixed => 24,
         }
     }
 }
 
-/// A guard that is disabled on purpose, to show that the checks detect it.
+/// A guard that a test disables to show that the invariant checks detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum DisabledGuard {
     None,
-    /// Tasks of a silent machine count as ended before its worker's lease has expired.
+    /// The leader frees the tasks of a silent machine before its worker's lease has expired.
     LeaseExpiry,
-    /// Late copies of heartbeats count as new ones.
+    /// The leader accepts late copies of heartbeats as new heartbeats.
     LateCopies,
-    /// Tasks count as ended although a delegate may still renew their worker's lease.
+    /// The leader frees the tasks of a silent machine although a delegate may still renew its worker's lease.
     Delegations,
 }
 
-/// A message in flight.
+/// A message in flight. Nodes are given by their index in [`World::nodes`].
 enum Message {
+    /// Heartbeat of a worker to a node.
     Heartbeat {
-        node: usize,
+        node_index: usize,
         heartbeat: Heartbeat,
-        late: bool,
+        late_copy: bool,
     },
+    /// Reply of a node to a heartbeat.
     Reply {
         machine: String,
-        number: (u64, u64),
-        given: Option<(u64, Vec<Command>)>,
-        redirect: Option<usize>,
+        /// Agent epoch and sequence number of the heartbeat.
+        heartbeat_id: (u64, u64),
+        /// Fencing token and commands; none if the node is neither the leader nor a delegate, and the worker's lease
+        /// is not renewed.
+        renewal: Option<(u64, Vec<Command>)>,
+        /// The node that leads, if it is another one.
+        redirect_to: Option<usize>,
     },
+    /// Commands that a leader sends to a worker directly.
     DirectCommands {
-        from: usize,
+        sender: usize,
         fencing_token: u64,
-        name: String,
-        message: DirectCommands,
+        machine_name: String,
+        direct_commands: DirectCommands,
         expects_reply: bool,
     },
+    /// Outcome of direct commands, for the leader that sent them.
     DirectOutcome {
-        node: usize,
+        node_index: usize,
         fencing_token: u64,
         machine: u32,
         outcome: DirectCommandOutcome,
     },
+    /// Transaction of a leader to the state service.
     Transaction {
-        node: usize,
+        node_index: usize,
         fencing_token: u64,
         txn: Rc<Txn>,
         expects_reply: bool,
     },
+    /// Outcome of a transaction, for the leader that sent it.
     TransactionOutcome {
-        node: usize,
+        node_index: usize,
         fencing_token: u64,
         outcome: TxnOutcome,
     },
+    /// The heartbeats that a delegate relays to the leader.
     Relay {
-        node: usize,
+        node_index: usize,
         record: RelayRecord,
     },
-    Job {
-        node: usize,
-        id: String,
-    },
+    /// A node's watch shows an accepted job.
+    Job { node_index: usize, id: String },
     /// All dependencies of a job are done.
-    Ready {
-        node: usize,
-        id: String,
-    },
+    Ready { node_index: usize, id: String },
     /// A dependency of the job is cancelled.
-    DependencyCancelled {
-        node: usize,
-        id: String,
-    },
+    DependencyCancelled { node_index: usize, id: String },
+    /// A node's watch shows the end of a job.
     JobEnd {
-        node: usize,
+        node_index: usize,
         id: String,
         record: EndRecord,
     },
 }
 
+/// A controller.
 #[derive(Default)]
 struct Node {
     down_until: f64,
     paused_until: f64,
+    /// The state of its term, from its election until it learns that the term has ended.
     leader: Option<Leader>,
-    trusted_until: f64,
-    renew_at: f64,
-    maintain_at: f64,
-    cloud_at: f64,
-    writing: bool,
+    /// Until when the node relies on its leader lease.
+    lease_trusted_until: f64,
+    renewal_due_at: f64,
+    maintenance_due_at: f64,
+    cloud_call_due_at: f64,
+    transaction_in_flight: bool,
 }
 
+/// A machine and the worker on it.
 struct Worker {
     fake: FakeWorker,
-    /// Per attempt: when its image is there, and when it ends.
-    times: BTreeMap<(String, u64), (f64, Option<f64>)>,
-    node: usize,
-    lease_from: f64,
-    heartbeat_at: f64,
-    waiting: Option<((u64, u64), f64)>,
+    /// For each attempt (task, attempt number): when its image is fetched, and when it ends, once it runs.
+    attempt_times: BTreeMap<(String, u64), (f64, Option<f64>)>,
+    /// The node that it sends its heartbeats to.
+    node_index: usize,
+    /// When it sent the heartbeat whose reply last renewed its lease.
+    lease_renewed_at: f64,
+    next_heartbeat_at: f64,
+    /// Agent epoch, sequence number and sending time of the heartbeat that awaits a reply.
+    awaited_reply: Option<((u64, u64), f64)>,
+    /// Until when the machine hangs: it sends and receives nothing, and its tasks make no progress.
     hung_until: f64,
+    /// Until when replies to its heartbeats are lost and direct commands are delayed.
     replies_lost_until: f64,
-    /// Every task that it starts fails.
-    fails: bool,
+    /// Tasks that run on it fail, except those of gangs.
+    tasks_fail: bool,
     /// When the cloud preempts it.
     preempted_at: Option<f64>,
 }
@@ -183,31 +205,40 @@
     store: FakeStore,
     /// The leader's node, its fencing token and the expiry of its lease.
     leadership: Option<(usize, u64, f64)>,
+    /// Until when the state service is unavailable.
     outage_until: f64,
     /// Until when the zones are partitioned from each other.
     partition_until: f64,
-    platform: Platform,
+    deployment_kind: DeploymentKind,
     config: Config,
     nodes: Vec<Node>,
     workers: BTreeMap<String, Worker>,
-    rented: BTreeMap<String, Vec<String>>,
-    booted: u32,
-    messages: Vec<(f64, Message)>,
+    /// The machines rented for each request name: a repeated request gets the same machines.
+    rented_by_request: BTreeMap<String, Vec<String>>,
+    machines_booted: u32,
+    /// Each message with the time of its delivery.
+    messages_in_flight: Vec<(f64, Message)>,
     jobs: BTreeMap<String, Submission>,
-    done: BTreeSet<String>,
-    cancelled: BTreeMap<String, f64>,
-    ends: BTreeMap<String, JobEnd>,
+    completed_tasks: BTreeSet<String>,
+    /// When users cancelled jobs.
+    cancelled_at: BTreeMap<String, f64>,
+    job_ends: BTreeMap<String, JobEnd>,
     /// The replica of a controller that never lags.
-    view: StateReplica,
+    replica: StateReplica,
     digest: TraceDigest,
     violations: Vec<String>,
-    lease_s: f64,
-    cancel_s: f64,
-    lease_duration_s: f64,
-    trusted_s: f64,
+    /// Duration of a worker's lease.
+    worker_lease_s: f64,
+    /// Time after its cancellation within which a job's tasks must have ended.
+    cancellation_limit_s: f64,
+    /// Duration of the leader's lease.
+    leader_lease_s: f64,
+    /// Time after a renewal during which the leader relies on its lease; shorter than the lease.
+    trusted_leader_lease_s: f64,
 }
 
-fn on_machine(state: TaskState) -> bool {
+/// Whether a task has started and not exited. A gang's task counts as started once it waits for the others.
+fn has_started(state: TaskState) -> bool {
     matches!(
         state,
         TaskState::Waiting | TaskState::Running | TaskState::Saving
@@ -215,8 +246,8 @@
 }
 
 impl World {
-    fn new(seed: u64, disabled_guard: DisabledGuard, platform: Platform) -> Self {
-        let config = platform.config();
+    fn new(seed: u64, disabled_guard: DisabledGuard, deployment_kind: DeploymentKind) -> Self {
+        let config = deployment_kind.config();
         let mut world = World {
             rng: SmallRng::seed_from_u64(seed),
             now: 0.0,
@@ -225,198 +256,228 @@
             leadership: None,
             outage_until: 0.0,
             partition_until: 0.0,
-            platform,
+            deployment_kind,
             nodes: (0..NODES).map(|_| Node::default()).collect(),
             workers: BTreeMap::new(),
-            rented: BTreeMap::new(),
-            booted: 0,
-            messages: Vec::new(),
+            rented_by_request: BTreeMap::new(),
+            machines_booted: 0,
+            messages_in_flight: Vec::new(),
             jobs: BTreeMap::new(),
-            done: BTreeSet::new(),
-            cancelled: BTreeMap::new(),
-            ends: BTreeMap::new(),
-            view: StateReplica::default(),
+            completed_tasks: BTreeSet::new(),
+            cancelled_at: BTreeMap::new(),
+            job_ends: BTreeMap::new(),
+            replica: StateReplica::default(),
             digest: TraceDigest::default(),
             violations: Vec::new(),
-            lease_s: config.deployment.workers.lease_s,
-            cancel_s: config.deployment.workers.cancel_s,
-            lease_duration_s: config.leader_lease_s(),
-            trusted_s: config.trusted_leader_lease_s(),
+            worker_lease_s: config.deployment.workers.lease_s,
+            cancellation_limit_s: config.deployment.workers.cancel_s,
+            leader_lease_s: config.leader_lease_s(),
+            trusted_leader_lease_s: config.trusted_leader_lease_s(),
             config,
         };
-        world.view.finish_load(0.0, 0);
-        for i in 0..platform.machines() / 2 {
-            world.boot(if i % 2 == 0 { "north" } else { "south" }, "small", false);
+        world.replica.finish_load(0.0, 0);
+        for index in 0..deployment_kind.machines() / 2 {
+            world.boot_machine(
+                if index % 2 == 0 { "north" } else { "south" },
+                "small",
+                false,
+            );
         }
         world
     }
 
-    fn chance(&mut self, p: f64) -> bool {
-        self.rng.random_bool(p)
+    fn chance(&mut self, probability: f64) -> bool {
+        self.rng.random_bool(probability)
     }
 
-    fn within(&mut self, from: f64, to: f64) -> f64 {
+    fn random_between(&mut self, from: f64, to: f64) -> f64 {
         self.rng.random_range(from..to)
     }
 
-    fn send(&mut self, after: f64, messages: Message) {
-        self.messages.push((self.now + after, messages));
+    fn send(&mut self, delay_s: f64, message: Message) {
+        self.messages_in_flight.push((self.now + delay_s, message));
     }
 
-    // ---- faults and users
-
-    // ---- leadership
-
-    // ---- message delivery
-
-    // ---- workers
-
-    // ---- rules
-
-    fn check(&mut self) {
-        let mut red = 0.0;
-        for (name, w) in &self.workers {
-            if !w.has_lease(self.now, self.lease_s) {
+    /// Records a violation if a task started before a dependency of its job was done, a task of a cancelled job is
+    /// still on a machine after the limit, a team exceeds its CPU limit, or an open job is missing from the store.
+    fn check_invariants(&mut self) {
+        let mut red_cpus = 0.0;
+        for (name, worker) in &self.workers {
+            if !worker.has_lease(self.now, self.worker_lease_s) {
                 continue;
             }
-            for t in &w.fake.heartbeat.tasks {
-                let Some((id, _)) = parse_task_name(&t.task) else {
+            for status in &worker.fake.heartbeat.tasks {
+                let Some((id, _)) = parse_task_name(&status.task) else {
                     continue;
                 };
-                if on_machine(t.state) && self.jobs[id].team == "red" {
-                    red += self.jobs[id].cpus;
+                if has_started(status.state) && self.jobs[id].team == "red" {
+                    red_cpus += self.jobs[id].cpus;
                 }
-                let not_done = |need: &&String| self.ends.get(*need) != Some(&JobEnd::Done);
-                if on_machine(t.state)
-                    && let Some(need) = self.jobs[id].waits_on.iter().find(not_done)
+                let not_done =
+                    |dependency: &&String| self.job_ends.get(*dependency) != Some(&JobEnd::Done);
+                if has_started(status.state)
+                    && let Some(dependency) = self.jobs[id].waits_on.iter().find(not_done)
                 {
                     self.violations
-                        .push(format!("{} runs before {need}", t.task));
+                        .push(format!("{} runs before {dependency} is done", status.task));
                 }
-                let cancelled = self.cancelled.get(id);
-                if t.state != TaskState::Exited
-                    && cancelled.is_some_and(|at| self.now > at + self.cancel_s)
+                let cancelled_at = self.cancelled_at.get(id);
+                if status.state != TaskState::Exited
+                    && cancelled_at.is_some_and(|at| self.now > at + self.cancellation_limit_s)
                 {
-                    self.violations
-                        .push(format!("{} runs on {name}, cancelled", t.task));
+                    self.violations.push(format!(
+                        "{} is still on {name}, its job is cancelled",
+                        status.task
+                    ));
                 }
             }
         }
-        if red > self.config.deployment.teams[0].cpus_max {
-            self.violations.push(format!("red uses {red} CPUs"));
+        if red_cpus > self.config.deployment.teams[0].cpus_max {
+            self.violations.push(format!(
+                "team red uses {red_cpus} CPUs, more than its limit"
+            ));
         }
-        for id in self.jobs.keys().filter(|id| !self.ends.contains_key(*id)) {
+        for id in self
+            .jobs
+            .keys()
+            .filter(|id| !self.job_ends.contains_key(*id))
+        {
             if !self.store.keys.contains_key(&keys::job(id)) {
-                self.violations.push(format!("{id} is forgotten"));
+                self.violations
+                    .push(format!("open job {id} is missing from the store"));
             }
         }
     }
 
-    /// Runs until all jobs have ended; returns the violations.
+    /// Runs the simulation to its end or to the first violation; returns the violations. A job that has not ended by
+    /// then counts as one.
     fn run(self) -> Vec<String> {
-        self.run_traced().0
+        self.run_with_digest().0
     }
 
-    /// As [`Self::run`], with the digest of everything that the leaders sent.
-    fn run_traced(mut self) -> (Vec<String>, u64) {
-        while self.now < END_S && self.violations.is_empty() {
+    /// As [`Self::run`], with the digest of everything that leaders and delegates sent.
+    fn run_with_digest(mut self) -> (Vec<String>, u64) {
+        while self.now < SIMULATION_END_S && self.violations.is_empty() {
             self.now += STEP_S;
             self.inject_faults();
             self.run_users();
             self.run_elections();
-            self.deliver();
-            for at in 0..NODES {
-                self.run_leader(at);
+            self.deliver_due_messages();
+            for node_index in 0..NODES {
+                self.run_leader(node_index);
             }
             self.run_workers();
-            self.check();
+            self.check_invariants();
         }
-        let open: Vec<&String> = self
+        let open_jobs: Vec<&String> = self
             .jobs
             .keys()
-            .filter(|id| !self.ends.contains_key(*id))
+            .filter(|id| !self.job_ends.contains_key(*id))
             .collect();
-        if self.violations.is_empty() && !open.is_empty() {
-            self.violations.push(format!("never ended: {open:?}"));
+        if self.violations.is_empty() && !open_jobs.is_empty() {
+            self.violations
+                .push(format!("jobs never ended: {open_jobs:?}"));
         }
         (self.violations, self.digest.finish())
     }
 }
 
 impl Worker {
-    fn end_agent_epoch(&mut self, now: f64) {
+    /// Kills and forgets all tasks, as a worker does when it restarts or its lease expires.
+    fn start_next_agent_epoch(&mut self, now: f64) {
         self.fake.heartbeat.agent_epoch += 1;
         self.fake.heartbeat.tasks.clear();
-        self.times.clear();
-        self.waiting = None;
-        self.lease_from = now;
-        self.heartbeat_at = now;
+        self.attempt_times.clear();
+        self.awaited_reply = None;
+        self.lease_renewed_at = now;
+        self.next_heartbeat_at = now;
     }
 
     fn has_lease(&self, now: f64, lease_s: f64) -> bool {
-        now - self.lease_from <= lease_s
+        now - self.lease_renewed_at <= lease_s
     }
 
-    fn keep_lease(&mut self, now: f64, lease_s: f64) {
+    fn enforce_lease(&mut self, now: f64, lease_s: f64) {
         if !self.has_lease(now, lease_s) {
-            self.end_agent_epoch(now);
+            self.start_next_agent_epoch(now);
         }
     }
 }
 
+/// Guards against faults whose effects combine: a message that was delayed, lost or duplicated reaches a leader,
+/// worker or store whose state has moved on, or a failover happens while commands and writes are in doubt. A leader
+/// that misjudges this starts a task twice, exceeds a team's limit, misses a cancellation, or never ends a job.
 #[test]
-fn no_rule_is_violated_and_every_job_ends_under_loss_delay_and_repeats() {
-    for (platform, seeds) in [
-        (Platform::Small, 24),
-        (Platform::Short, 8),
-        (Platform::Mixed, 8),
+fn invariants_hold_and_every_job_ends_under_random_faults() {
+    for (deployment_kind, seeds) in [
+        (DeploymentKind::Small, 24),
+        (DeploymentKind::Short, 8),
+        (DeploymentKind::Mixed, 8),
     ] {
         for seed in 0..seeds {
-            let violations = World::new(seed, DisabledGuard::None, platform).run();
+            let violations = World::new(seed, DisabledGuard::None, deployment_kind).run();
             assert!(
                 violations.is_empty(),
-                "{platform:?}, seed {seed}: {violations:?}"
+                "{deployment_kind:?}, seed {seed}: {violations:?}"
             );
         }
     }
 }
 
-/// The checks must be able to detect a violation.
+/// Guards against checks that can't fail: with one guard of the leader disabled, some seed must show a task that runs
+/// on two machines. Only the text of that violation contains " and ".
 #[test]
-fn a_disabled_guard_is_found() {
-    for (disabled_guard, platform) in [
-        (DisabledGuard::LeaseExpiry, Platform::Small),
-        (DisabledGuard::LateCopies, Platform::Small),
-        (DisabledGuard::LeaseExpiry, Platform::Short),
-        (DisabledGuard::Delegations, Platform::Short),
+fn checks_find_a_task_on_two_machines_when_a_guard_is_disabled() {
+    for (disabled_guard, deployment_kind) in [
+        (DisabledGuard::LeaseExpiry, DeploymentKind::Small),
+        (DisabledGuard::LateCopies, DeploymentKind::Small),
+        (DisabledGuard::LeaseExpiry, DeploymentKind::Short),
+        (DisabledGuard::Delegations, DeploymentKind::Short),
     ] {
-        let found = (0..24).find_map(|seed| World::new(seed, disabled_guard, platform).run().pop());
-        let found = found.expect("nothing found");
-        assert!(found.contains(" and "), "{disabled_guard:?}: {found}");
+        let violation = (0..24).find_map(|seed| {
+            World::new(seed, disabled_guard, deployment_kind)
+                .run()
+                .pop()
+        });
+        let violation = violation.expect("no seed shows a violation");
+        assert!(
+            violation.contains(" and "),
+            "{disabled_guard:?}: {violation}"
+        );
     }
 }
 
-/// Environment variable with the number of seeds per platform whose digests are computed.
+/// Environment variable with the number of seeds for each kind of deployment whose digests are computed.
 const DIGEST_SEEDS_VARIABLE: &str = "DIGEST_SEEDS";
-const DIGEST_SEEDS: u64 = 2;
+/// The number of seeds if the variable is not set.
+const DEFAULT_DIGEST_SEEDS: u64 = 2;
 
-/// Equal digests show that two versions make the same decisions. `DIGEST_SEEDS=60 cargo test same_digest --
-/// --nocapture` prints those of more seeds.
+/// Guards against decisions that depend on anything but the seed, such as the iteration order of a hash map: runs
+/// could not be reproduced then. Equal digests of two versions of the code show that both make the same decisions;
+/// `DIGEST_SEEDS=60 cargo test same_digest -- --nocapture` prints the digests of more seeds.
 #[test]
-fn a_seed_played_twice_gives_the_same_digest() {
+fn running_a_seed_twice_gives_the_same_digest() {
     let seeds = std::env::var(DIGEST_SEEDS_VARIABLE).ok();
-    let seeds = seeds.map_or(DIGEST_SEEDS, |seeds| seeds.parse().unwrap());
-    for platform in [Platform::Small, Platform::Short, Platform::Mixed] {
+    let seeds = seeds.map_or(DEFAULT_DIGEST_SEEDS, |seeds| seeds.parse().unwrap());
+    for deployment_kind in [
+        DeploymentKind::Small,
+        DeploymentKind::Short,
+        DeploymentKind::Mixed,
+    ] {
         let digest = |seed| {
-            World::new(seed, DisabledGuard::None, platform)
-                .run_traced()
+            World::new(seed, DisabledGuard::None, deployment_kind)
+                .run_with_digest()
                 .1
         };
         for seed in 0..seeds {
             let first = digest(seed);
-            println!("{platform:?} {seed} {first:016x}");
-            assert_eq!(first, digest(seed), "{platform:?}, seed {seed}");
+            println!("{deployment_kind:?} {seed} {first:016x}");
+            assert_eq!(first, digest(seed), "{deployment_kind:?}, seed {seed}");
         }
-        assert_ne!(digest(0), digest(1), "{platform:?}: seeds differ");
+        assert_ne!(
+            digest(0),
+            digest(1),
+            "{deployment_kind:?}: seeds 0 and 1 have the same digest"
+        );
     }
 }
--- a/src/tests/random_faults/delivery.rs
+++ b/src/tests/random_faults/delivery.rs
@@ -1,77 +1,84 @@
-//! Delivery of messages in flight.
+//! Delivery of messages in flight to nodes, workers and the state service.
 
 use super::*;
 
 impl World {
-    pub(super) fn deliver(&mut self) {
-        let (due, later) = std::mem::take(&mut self.messages)
+    pub(super) fn deliver_due_messages(&mut self) {
+        let (due, later) = std::mem::take(&mut self.messages_in_flight)
             .into_iter()
             .partition(|(at, _)| *at <= self.now);
-        self.messages = later;
-        for (_, messages) in due {
-            self.receive(messages);
+        self.messages_in_flight = later;
+        for (_, message) in due {
+            self.receive(message);
         }
     }
 
-    /// A message for a paused node waits for it; one for a node that is down is lost.
-    pub(super) fn deliverable(&mut self, at: usize, messages: Message) -> Option<Message> {
-        let node = &self.nodes[at];
+    /// The message, if the node can receive it now. A paused node receives it after the pause; a message to a node that
+    /// is down is lost.
+    pub(super) fn deliverable(&mut self, node_index: usize, message: Message) -> Option<Message> {
+        let node = &self.nodes[node_index];
         if node.down_until > self.now {
             return None;
         }
         if node.paused_until > self.now {
             let until = node.paused_until;
-            self.messages.push((until, messages));
+            self.messages_in_flight.push((until, message));
             return None;
         }
-        Some(messages)
+        Some(message)
     }
 
-    pub(super) fn receive(&mut self, messages: Message) {
+    pub(super) fn receive(&mut self, message: Message) {
         let now = self.now;
-        let at = match &messages {
-            Message::Heartbeat { node, .. }
-            | Message::DirectOutcome { node, .. }
-            | Message::TransactionOutcome { node, .. }
-            | Message::Relay { node, .. }
-            | Message::Job { node, .. }
-            | Message::Ready { node, .. }
-            | Message::DependencyCancelled { node, .. }
-            | Message::JobEnd { node, .. } => Some(*node),
+        let receiving_node = match &message {
+            Message::Heartbeat { node_index, .. }
+            | Message::DirectOutcome { node_index, .. }
+            | Message::TransactionOutcome { node_index, .. }
+            | Message::Relay { node_index, .. }
+            | Message::Job { node_index, .. }
+            | Message::Ready { node_index, .. }
+            | Message::DependencyCancelled { node_index, .. }
+            | Message::JobEnd { node_index, .. } => Some(*node_index),
             _ => None,
         };
-        let messages = match at {
-            Some(at) => self.deliverable(at, messages),
-            None => Some(messages),
+        let message = match receiving_node {
+            Some(node_index) => self.deliverable(node_index, message),
+            None => Some(message),
         };
-        match messages {
+        match message {
             None => {}
             Some(Message::Heartbeat {
-                node,
+                node_index,
                 heartbeat,
-                late,
-            }) => self.receive_heartbeat(node, heartbeat, late),
+                late_copy,
+            }) => self.receive_heartbeat(node_index, heartbeat, late_copy),
             Some(Message::Reply {
                 machine,
-                number,
-                given,
-                redirect,
-            }) => self.receive_reply(&machine, number, given, redirect),
+                heartbeat_id,
+                renewal,
+                redirect_to,
+            }) => self.receive_reply(&machine, heartbeat_id, renewal, redirect_to),
             Some(Message::DirectCommands {
-                from,
+                sender,
                 fencing_token,
-                name,
-                message,
+                machine_name,
+                direct_commands,
                 expects_reply,
-            }) => self.receive_direct_commands(from, fencing_token, name, message, expects_reply),
+            }) => self.receive_direct_commands(
+                sender,
+                fencing_token,
+                machine_name,
+                direct_commands,
+                expects_reply,
+            ),
             Some(Message::DirectOutcome {
-                node,
+                node_index,
                 fencing_token,
                 machine,
                 outcome,
             }) => {
-                // Recorded even if the lease is not trusted at this moment.
-                if let Some(leader) = self.nodes[node]
+                // The outcome counts even if the leader does not rely on its lease at this moment.
+                if let Some(leader) = self.nodes[node_index]
                     .leader
                     .as_mut()
                     .filter(|l| l.fencing_token == fencing_token)
@@ -80,7 +87,7 @@
                 }
             }
             Some(Message::Transaction {
-                node,
+                node_index,
                 fencing_token,
                 txn,
                 expects_reply,
@@ -88,15 +95,15 @@
                 let outcome = if now < self.outage_until {
                     TxnOutcome::Refused
                 } else {
-                    self.apply(&txn)
+                    self.apply_transaction(&txn)
                 };
                 if expects_reply {
-                    let lost = self.fault(0.05);
+                    let lost = self.fault_occurs(0.05);
                     let outcome = if lost { TxnOutcome::Unknown } else { outcome };
                     self.send(
                         0.1,
                         Message::TransactionOutcome {
-                            node,
+                            node_index,
                             fencing_token,
                             outcome,
                         },
@@ -104,53 +111,59 @@
                 }
             }
             Some(Message::TransactionOutcome {
-                node,
+                node_index,
                 fencing_token,
                 outcome,
-            }) => self.receive_transaction_outcome(node, fencing_token, outcome),
-            Some(Message::Relay { node, record }) => {
-                if let Some(leader) = self.nodes[node].leader.as_mut() {
+            }) => self.receive_transaction_outcome(node_index, fencing_token, outcome),
+            Some(Message::Relay { node_index, record }) => {
+                if let Some(leader) = self.nodes[node_index].leader.as_mut() {
                     leader.on_relay(&record, now);
                 }
             }
-            Some(Message::Job { node, id }) => {
+            Some(Message::Job { node_index, id }) => {
                 let stored = self.stored_job(&id);
-                // A watch delivers changes in order: an end that was delivered already was stored after this.
-                let known = !self.ends.contains_key(&id);
-                if let Some(leader) = self.nodes[node].leader.as_mut().filter(|_| known) {
+                // A watch delivers changes in order: a node never sees a job after the job's end. Once the end is
+                // stored, the job is not added, as the end may have been delivered already.
+                let is_open = !self.job_ends.contains_key(&id);
+                if let Some(leader) = self.nodes[node_index].leader.as_mut().filter(|_| is_open) {
                     leader.add_stored_job(&id.as_str().into(), &stored, now);
                 }
             }
-            Some(Message::Ready { node, id }) => {
-                if let Some(leader) = self.nodes[node].leader.as_mut() {
+            Some(Message::Ready { node_index, id }) => {
+                if let Some(leader) = self.nodes[node_index].leader.as_mut() {
                     leader.on_ready(&id, now);
                 }
             }
-            Some(Message::DependencyCancelled { node, id }) => {
-                if let Some(leader) = self.nodes[node].leader.as_mut() {
+            Some(Message::DependencyCancelled { node_index, id }) => {
+                if let Some(leader) = self.nodes[node_index].leader.as_mut() {
                     leader.on_dependency_cancelled(&id);
                 }
             }
-            Some(Message::JobEnd { node, id, record }) => {
-                if let Some(leader) = self.nodes[node].leader.as_mut() {
+            Some(Message::JobEnd {
+                node_index,
+                id,
+                record,
+            }) => {
+                if let Some(leader) = self.nodes[node_index].leader.as_mut() {
                     leader.on_end(&id, &record, now);
                 }
             }
         }
     }
 
-    /// A job as the leader's replica shows it.
+    /// A job as a replica without lag shows it.
     fn stored_job(&self, id: &str) -> ReplicatedJob {
         let mut stored = ReplicatedJob::default();
         stored.spec = Some(Rc::new(self.jobs[id].clone()));
-        if let Some(job) = self.view.jobs.get(id) {
+        if let Some(job) = self.replica.jobs.get(id) {
             stored.is_blocked = job.is_blocked;
             stored.dependency_cancelled = job.dependency_cancelled;
         }
         stored
     }
 
-    pub(super) fn apply(&mut self, txn: &Txn) -> TxnOutcome {
+    /// Applies a transaction to the store; records the ends of jobs that it stores.
+    pub(super) fn apply_transaction(&mut self, txn: &Txn) -> TxnOutcome {
         let outcome = self.store.apply(txn);
         if let TxnOutcome::Applied(_) = outcome {
             for change in &txn.changes {
@@ -168,12 +181,12 @@
 
     pub(super) fn receive_transaction_outcome(
         &mut self,
-        at: usize,
+        node_index: usize,
         fencing_token: u64,
         outcome: TxnOutcome,
     ) {
         let now = self.now;
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[node_index];
         let Some(leader) = node
             .leader
             .as_mut()
@@ -181,70 +194,106 @@
         else {
             return;
         };
-        node.writing = false;
+        node.transaction_in_flight = false;
         match leader.on_transaction_outcome(outcome, now) {
             AfterTransaction::Continue | AfterTransaction::Retry => {}
             AfterTransaction::ReadBack(key) => {
-                let stamp = self.store.keys.get(&key).map_or(0, |(_, stamp)| *stamp);
-                leader.on_read_back(stamp, now);
+                let revision = self
+                    .store
+                    .keys
+                    .get(&key)
+                    .map_or(0, |(_, revision)| *revision);
+                leader.on_read_back(revision, now);
             }
             AfterTransaction::LeadershipLost => {
-                if self.leadership.is_some_and(|(_, t, _)| t == fencing_token) {
+                if self
+                    .leadership
+                    .is_some_and(|(_, leader_token, _)| leader_token == fencing_token)
+                {
                     self.violations
-                        .push("gave up an office that it held".into());
+                        .push("the leader resigned while its lease was valid".into());
                 }
                 node.leader = None;
             }
         }
     }
 
-    pub(super) fn receive_heartbeat(&mut self, at: usize, mut heartbeat: Heartbeat, late: bool) {
+    /// A node replies as the leader or as its delegate, or redirects the worker to the leader.
+    pub(super) fn receive_heartbeat(
+        &mut self,
+        node_index: usize,
+        mut heartbeat: Heartbeat,
+        late_copy: bool,
+    ) {
         let now = self.now;
-        let leader_node = self.leadership.map(|(node, ..)| node).filter(|n| *n != at);
-        let forged = self.disabled_guard == DisabledGuard::LateCopies && late;
-        let Some(leader) = self.acting(at) else {
-            if let Some(fencing_token) = self.delegated_token(at, &heartbeat) {
+        let leader_node = self
+            .leadership
+            .map(|(leader, ..)| leader)
+            .filter(|leader| *leader != node_index);
+        let accepts_as_new = self.disabled_guard == DisabledGuard::LateCopies && late_copy;
+        let Some(leader) = self.acting_leader(node_index) else {
+            if let Some(fencing_token) = self.delegated_fencing_token(node_index, &heartbeat) {
                 let commands = self.reply_as_delegate(&heartbeat, fencing_token);
-                return self.reply(at, &heartbeat, Some((fencing_token, commands)), None);
+                return self.send_reply(
+                    node_index,
+                    &heartbeat,
+                    Some((fencing_token, commands)),
+                    None,
+                );
             }
-            return self.reply(at, &heartbeat, None, leader_node);
+            return self.send_reply(node_index, &heartbeat, None, leader_node);
         };
-        if forged {
-            let known = leader.fleet.find(&heartbeat.machine);
-            if let Some(m) = known.and_then(|index| leader.fleet.machines.get(&index)) {
-                (heartbeat.agent_epoch, heartbeat.sequence) = (m.agent_epoch, m.sequence + 1);
+        if accepts_as_new {
+            let known_index = leader.fleet.find(&heartbeat.machine);
+            if let Some(machine) = known_index.and_then(|index| leader.fleet.machines.get(&index)) {
+                (heartbeat.agent_epoch, heartbeat.sequence) =
+                    (machine.agent_epoch, machine.sequence + 1);
             }
             heartbeat.fencing_token = leader.fencing_token;
         }
         if heartbeat.fencing_token > leader.fencing_token {
-            return self.reply(at, &heartbeat, None, leader_node);
+            return self.send_reply(node_index, &heartbeat, None, leader_node);
         }
         leader.record_worker_contact(now);
         let mut commands = Vec::new();
-        if let Some(given) = leader.on_heartbeat(&heartbeat, HeartbeatOrigin::Periodic, now) {
-            commands = given;
+        if let Some(required_commands) =
+            leader.on_heartbeat(&heartbeat, HeartbeatOrigin::Periodic, now)
+        {
+            commands = required_commands;
             leader.append_reply_commands(&heartbeat, &mut commands);
         }
         let fencing_token = leader.fencing_token;
-        self.reply(at, &heartbeat, Some((fencing_token, commands)), None);
+        self.send_reply(
+            node_index,
+            &heartbeat,
+            Some((fencing_token, commands)),
+            None,
+        );
     }
 
-    /// The fencing token under which a node may reply to a heartbeat as a delegate now, as the store shows.
-    pub(super) fn delegated_token(&self, at: usize, heartbeat: &Heartbeat) -> Option<u64> {
+    /// The leader's fencing token, if a node may reply to a heartbeat as the leader's delegate: the state service must
+    /// be available and show a delegation for the worker's zone.
+    pub(super) fn delegated_fencing_token(
+        &self,
+        node_index: usize,
+        heartbeat: &Heartbeat,
+    ) -> Option<u64> {
         let (leader, fencing_token, until) = self.leadership?;
-        let able = leader != at && self.now <= until && self.now >= self.outage_until;
-        let in_force = |key: &str, value: &RawValue| {
+        let can_check = leader != node_index && self.now <= until && self.now >= self.outage_until;
+        let is_in_force = |key: &str, value: &RawValue| {
             key.contains("/standin/")
-                && serde_json::from_str(value.get()).is_ok_and(|r: DelegationRecord| {
-                    r.fencing_token == fencing_token && r.zone == heartbeat.zone && !r.revoked
+                && serde_json::from_str(value.get()).is_ok_and(|delegation: DelegationRecord| {
+                    delegation.fencing_token == fencing_token
+                        && delegation.zone == heartbeat.zone
+                        && !delegation.revoked
                 })
         };
         let mut keys = self.store.keys.iter();
-        let in_force = able && keys.any(|(key, (value, _))| in_force(key, value));
+        let in_force = can_check && keys.any(|(key, (value, _))| is_in_force(key, value));
         (in_force && heartbeat.fencing_token <= fencing_token).then_some(fencing_token)
     }
 
-    /// The commands of a delegate's reply. What the heartbeat shows is relayed to the leader, perhaps more than once.
+    /// The commands of a delegate's reply. The heartbeat is relayed to the leader, sometimes with a late duplicate.
     pub(super) fn reply_as_delegate(
         &mut self,
         heartbeat: &Heartbeat,
@@ -253,144 +302,165 @@
         let mut relay = Relay::new(fencing_token);
         relay.record(heartbeat);
         let record = relay.take_record(&heartbeat.zone, usize::MAX);
-        let node = self.leadership.map_or(0, |(node, ..)| node);
-        let after = self.within(0.05, 2.0);
-        if self.fault(0.2) {
-            let after = self.within(1.0, 60.0);
+        let node_index = self.leadership.map_or(0, |(leader, ..)| leader);
+        let delay_s = self.random_between(0.05, 2.0);
+        if self.fault_occurs(0.2) {
+            let delay_s = self.random_between(1.0, 60.0);
             let record = record.clone();
-            self.send(after, Message::Relay { node, record });
+            self.send(delay_s, Message::Relay { node_index, record });
         }
-        self.send(after, Message::Relay { node, record });
-        let over = |name: &str| {
+        self.send(delay_s, Message::Relay { node_index, record });
+        let has_ended = |name: &str| {
             let id = parse_task_name(name).map_or("", |(id, _)| id);
             self.store.keys.contains_key(&keys::job_end(id))
         };
-        stop_commands_for_ended_jobs(heartbeat, over)
+        stop_commands_for_ended_jobs(heartbeat, has_ended)
     }
 
-    /// Seconds for which a partition still holds back messages between a node and a machine.
-    pub(super) fn partition_delay_s(&self, at: usize, machine: &str) -> f64 {
-        let zone = self.workers.get(machine).map(|w| &*w.fake.heartbeat.zone);
-        if zone.is_some_and(|z| z != NODE_ZONES[at]) {
+    /// Seconds for which a zone partition delays messages between a node and a machine; 0 without a partition.
+    pub(super) fn partition_delay_s(&self, node_index: usize, machine: &str) -> f64 {
+        let zone = self
+            .workers
+            .get(machine)
+            .map(|worker| &*worker.fake.heartbeat.zone);
+        if zone.is_some_and(|zone| zone != NODE_ZONES[node_index]) {
             (self.partition_until - self.now).max(0.0)
         } else {
             0.0
         }
     }
 
-    pub(super) fn reply(
+    pub(super) fn send_reply(
         &mut self,
-        at: usize,
+        node_index: usize,
         heartbeat: &Heartbeat,
-        given: Option<(u64, Vec<Command>)>,
-        redirect: Option<usize>,
+        renewal: Option<(u64, Vec<Command>)>,
+        redirect_to: Option<usize>,
     ) {
-        let after = if self.fault(0.05) {
-            self.within(1.0, 8.0)
+        let delay_s = if self.fault_occurs(0.05) {
+            self.random_between(1.0, 8.0)
         } else {
-            self.within(0.01, 0.3)
+            self.random_between(0.01, 0.3)
         };
-        let after = after + self.partition_delay_s(at, &heartbeat.machine);
-        if let Some((fencing_token, commands)) = &given {
+        let delay_s = delay_s + self.partition_delay_s(node_index, &heartbeat.machine);
+        if let Some((fencing_token, commands)) = &renewal {
             self.digest
                 .reply(self.now, *fencing_token, &heartbeat.machine, commands);
         }
         self.send(
-            after,
+            delay_s,
             Message::Reply {
                 machine: heartbeat.machine.clone(),
-                number: (heartbeat.agent_epoch, heartbeat.sequence),
-                given,
-                redirect,
+                heartbeat_id: (heartbeat.agent_epoch, heartbeat.sequence),
+                renewal,
+                redirect_to,
             },
         );
     }
 
+    /// A worker drops a reply that is late, to an earlier heartbeat, or of a former leader.
     pub(super) fn receive_reply(
         &mut self,
         machine: &str,
-        number: (u64, u64),
-        given: Option<(u64, Vec<Command>)>,
-        redirect: Option<usize>,
+        heartbeat_id: (u64, u64),
+        renewal: Option<(u64, Vec<Command>)>,
+        redirect_to: Option<usize>,
     ) {
         let now = self.now;
         let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
-        let Some(w) = self.workers.get_mut(machine) else {
+        let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        if w.replies_lost_until > now || w.hung_until > now {
+        if worker.replies_lost_until > now || worker.hung_until > now {
             return;
         }
-        let Some((_, sent)) = w.waiting.filter(|(n, _)| *n == number) else {
+        let Some((_, sent_at)) = worker
+            .awaited_reply
+            .filter(|(awaited_id, _)| *awaited_id == heartbeat_id)
+        else {
             return;
         };
-        w.waiting = None;
-        if now - sent > REPLY_TIMEOUT_S {
+        worker.awaited_reply = None;
+        if now - sent_at > REPLY_TIMEOUT_S {
             return;
         }
-        match given {
-            Some((fencing_token, commands)) if fencing_token >= w.fake.heartbeat.fencing_token => {
-                w.lease_from = sent;
-                let higher = fencing_token > w.fake.heartbeat.fencing_token;
-                w.fake.heartbeat.fencing_token = fencing_token;
-                w.heartbeat_at = now + if higher { 0.5 } else { heartbeat_interval_s };
-                self.execute(machine, &commands);
+        match renewal {
+            Some((fencing_token, commands))
+                if fencing_token >= worker.fake.heartbeat.fencing_token =>
+            {
+                worker.lease_renewed_at = sent_at;
+                let is_new_leader = fencing_token > worker.fake.heartbeat.fencing_token;
+                worker.fake.heartbeat.fencing_token = fencing_token;
+                worker.next_heartbeat_at = now
+                    + if is_new_leader {
+                        0.5
+                    } else {
+                        heartbeat_interval_s
+                    };
+                self.execute_commands(machine, &commands);
             }
             Some(_) => {}
             None => {
-                w.node = redirect.unwrap_or((w.node + 1) % NODES);
-                w.heartbeat_at = now + if redirect.is_some() { 0.2 } else { 1.0 };
+                worker.node_index = redirect_to.unwrap_or((worker.node_index + 1) % NODES);
+                worker.next_heartbeat_at = now + if redirect_to.is_some() { 0.2 } else { 1.0 };
             }
         }
     }
 
+    /// Commands for a machine that hangs, or that loses replies, are delivered when it recovers; their sender gets no
+    /// outcome and must assume that they may still be executed.
     pub(super) fn receive_direct_commands(
         &mut self,
-        from: usize,
+        sender: usize,
         fencing_token: u64,
-        name: String,
-        message: DirectCommands,
+        machine_name: String,
+        direct_commands: DirectCommands,
         expects_reply: bool,
     ) {
         let now = self.now;
-        let machine = message.machine;
-        let outcome = match self.workers.get_mut(&name) {
+        let machine = direct_commands.machine;
+        let outcome = match self.workers.get_mut(&machine_name) {
             None => DirectCommandOutcome::NotSent,
-            Some(w) if w.hung_until > now || w.replies_lost_until > now => {
-                // It is delivered when the machine continues.
-                let until = w.hung_until.max(w.replies_lost_until);
-                self.messages.push((
+            Some(worker) if worker.hung_until > now || worker.replies_lost_until > now => {
+                let until = worker.hung_until.max(worker.replies_lost_until);
+                self.messages_in_flight.push((
                     until,
                     Message::DirectCommands {
-                        from,
+                        sender,
                         fencing_token,
-                        name,
-                        message,
+                        machine_name,
+                        direct_commands,
                         expects_reply: false,
                     },
                 ));
                 DirectCommandOutcome::Unknown
             }
-            Some(w) => {
-                w.keep_lease(now, self.lease_s);
-                let r = &mut w.fake.heartbeat;
-                r.sequence += 1;
-                if fencing_token < r.fencing_token || message.agent_epoch != r.agent_epoch {
-                    DirectCommandOutcome::Refused(r.clone())
+            Some(worker) => {
+                worker.enforce_lease(now, self.worker_lease_s);
+                let heartbeat = &mut worker.fake.heartbeat;
+                heartbeat.sequence += 1;
+                if fencing_token < heartbeat.fencing_token
+                    || direct_commands.agent_epoch != heartbeat.agent_epoch
+                {
+                    DirectCommandOutcome::Refused(heartbeat.clone())
                 } else {
-                    r.fencing_token = fencing_token;
-                    self.execute(&name, &message.commands);
-                    DirectCommandOutcome::Done(self.workers[&name].fake.heartbeat.clone())
+                    heartbeat.fencing_token = fencing_token;
+                    self.execute_commands(&machine_name, &direct_commands.commands);
+                    DirectCommandOutcome::Done(self.workers[&machine_name].fake.heartbeat.clone())
                 }
             }
         };
         if expects_reply {
-            let unknown = matches!(outcome, DirectCommandOutcome::Unknown);
-            let after = if unknown { DIRECT_TIMEOUT_S } else { 0.1 };
+            let is_unknown = matches!(outcome, DirectCommandOutcome::Unknown);
+            let delay_s = if is_unknown {
+                DIRECT_COMMAND_TIMEOUT_S
+            } else {
+                0.1
+            };
             self.send(
-                after,
+                delay_s,
                 Message::DirectOutcome {
-                    node: from,
+                    node_index: sender,
                     fencing_token,
                     machine,
                     outcome,
--- a/src/tests/random_faults/digest.rs
+++ b/src/tests/random_faults/digest.rs
@@ -1,5 +1,5 @@
-//! A digest of everything that leaders send, in wire form: two versions that make the same decisions have the same
-//! digest, whatever their types and fields are called.
+//! A digest of everything that leaders and delegates send, as serialized: versions of the code that make the same
+//! decisions have the same digest, whatever names their types and fields have in Rust.
 
 use std::hash::{DefaultHasher, Hasher};
 
@@ -13,9 +13,10 @@
 }
 
 impl TraceDigest {
-    fn record(&mut self, what: &str, now: f64, fencing_token: u64, sent: &impl Serialize) {
-        let sent = serde_json::to_string(sent).unwrap();
-        let line = format!("{what} {now:?} {fencing_token} {sent}\n");
+    /// Adds a line. The label is part of the digest: another label changes the digests of all seeds.
+    fn record(&mut self, label: &str, now: f64, fencing_token: u64, content: &impl Serialize) {
+        let content = serde_json::to_string(content).unwrap();
+        let line = format!("{label} {now:?} {fencing_token} {content}\n");
         self.hasher.write(line.as_bytes());
     }
 
@@ -27,11 +28,16 @@
         &mut self,
         now: f64,
         fencing_token: u64,
-        name: &str,
-        message: &DirectCommands,
+        machine: &str,
+        direct_commands: &DirectCommands,
     ) {
-        let sent = (name, message.addr, message.agent_epoch, &message.commands);
-        self.record("direct", now, fencing_token, &sent);
+        let content = (
+            machine,
+            direct_commands.addr,
+            direct_commands.agent_epoch,
+            &direct_commands.commands,
+        );
+        self.record("direct", now, fencing_token, &content);
     }
 
     pub(super) fn reply(
