--- a/crates/quota/src/admission.rs
+++ b/crates/quota/src/admission.rs
@@ -1,4 +1,4 @@
-//! State of one controller's admissions: charges in flight, transfers without an outcome, shortages.
+//! State from which one controller admits jobs: charges in flight, transfers without a known outcome, shortages.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -11,16 +11,17 @@
 use crate::settings::QuotaSettings;
 use crate::shortages::Shortages;
 
-/// Units that a transfer takes out of this controller's allotment: until it is known to be applied, or never to be,
-/// no job is admitted from them. A transaction without an answer may be applied at any later time, as long as the
-/// revisions it is conditional on last.
+/// A transfer of units out of this controller's allotment whose outcome is unknown. No job is admitted from these
+/// units until the transfer is known to be applied or can no longer be applied: a transaction without an answer may
+/// be applied at any later time while the revisions on which it is conditional are current.
 #[derive(Debug)]
 struct OutgoingTransfer {
     amount: QuotaAmount,
+    /// Revision of the allotment on which the transfer is conditional.
     allotment_revision: u64,
 }
 
-/// Admissions of one controller: what it decides from, besides the ledger.
+/// State of one controller's admissions. Decisions depend on it and on the [`Ledger`].
 #[derive(Debug)]
 pub struct Admissions {
     node: Rc<str>,
@@ -29,17 +30,18 @@
     settings: Rc<QuotaSettings>,
     digest: String,
     pub(crate) in_flight: InFlightCharges,
-    /// The transfer out of this controller's allotment without an outcome, by team.
+    /// The transfer out of this controller's allotment whose outcome is unknown, by team.
     outgoing: HashMap<Rc<str>, OutgoingTransfer>,
-    /// When this controller last admitted a job, by team.
-    admitted_at: HashMap<Rc<str>, Time>,
+    /// Time at which this controller last admitted a job, by team.
+    last_admission_at: HashMap<Rc<str>, Time>,
     pub(crate) shortages: Shortages,
-    /// The last team whose unused units were examined.
+    /// The team whose unused units [`crate::transfer::release_unused`] examined last.
     pub(crate) release_cursor: Option<Rc<str>>,
 }
 
 impl Admissions {
-    /// Admissions of an incarnation of the controller `node`, which is one of `controllers`.
+    /// Creates the state of an incarnation of the controller `node`; `controllers` is the number of all controllers
+    /// of the deployment.
     pub fn new(
         node: &str,
         incarnation: u64,
@@ -54,45 +56,47 @@
             settings,
             in_flight: InFlightCharges::default(),
             outgoing: HashMap::new(),
-            admitted_at: HashMap::new(),
+            last_admission_at: HashMap::new(),
             shortages: Shortages::default(),
             release_cursor: None,
         }
     }
 
-    /// Name of the controller.
+    /// Name of this controller.
     pub fn node(&self) -> &Rc<str> {
         &self.node
     }
 
-    /// Incarnation of the controller.
+    /// Incarnation of this controller; an allotment with another incarnation is not used for admissions.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Number of controllers.
+    /// Number of all controllers of the deployment.
     pub(crate) fn controllers(&self) -> i64 {
         self.controllers
     }
 
-    /// The quotas with which this controller is configured.
+    /// Quotas with which this controller is configured; not necessarily those in force.
     pub fn settings(&self) -> &QuotaSettings {
         &self.settings
     }
 
-    /// The digest of the quotas with which this controller is configured.
+    /// Digest of the quotas with which this controller is configured.
     pub fn digest(&self) -> &str {
         &self.digest
     }
 
-    /// The revision of the settings record, if it has this controller's settings and jobs are admitted under them.
+    /// The revision of the settings record. None without stored settings, if these differ from this controller's,
+    /// while a change of settings is being applied, and while the ledger is incomplete.
     pub fn settings_in_force(&self, ledger: &Ledger) -> Option<u64> {
         let (record, revision) = ledger.settings()?;
         let in_force = record.open && record.digest == self.digest && ledger.is_consistent();
         in_force.then_some(revision)
     }
 
-    /// Whether a team holds more than it is entitled to now: none of its jobs is admitted until that has changed.
+    /// Returns whether a team holds more than its limit, or has borrowed while the shared pool is negative. No job
+    /// of an overdrawn team is admitted.
     pub(crate) fn is_overdrawn(&self, ledger: &Ledger, team: &str, record: &TeamRecord) -> bool {
         let quota = self.settings.team(team);
         let shared = ledger.shared.record.as_ref();
@@ -104,7 +108,7 @@
         })
     }
 
-    /// This controller's allotment of a team, if it belongs to this incarnation.
+    /// This controller's allotment of a team; None if it belongs to another incarnation or to none.
     pub(crate) fn owned_allotment<'l>(
         &self,
         ledger: &'l Ledger,
@@ -115,7 +119,8 @@
             .filter(|allotment| allotment.incarnation == self.incarnation)
     }
 
-    /// Units that may still be charged to this controller's allotment. Negative if it shrank below its use.
+    /// Units of this controller's allotment minus its charges, those of creations in flight, and an outgoing
+    /// transfer. Negative if the allotment is smaller than their sum.
     pub fn available(&self, ledger: &Ledger, team: &str) -> QuotaAmount {
         let allotment = ledger.allotment(team, &self.node);
         let unused = allotment.map_or(QuotaAmount::ZERO, |allotment| {
@@ -127,26 +132,28 @@
             - outgoing.map_or(QuotaAmount::ZERO, |outgoing| outgoing.amount)
     }
 
-    /// Units that this controller lacks to admit a job.
+    /// Units that this controller's allotment lacks to admit a job.
     pub(crate) fn missing(&self, ledger: &Ledger, team: &str, need: QuotaAmount) -> QuotaAmount {
         (need - self.available(ledger, team))
             .restricted_to(need)
             .non_negative()
     }
 
-    /// Charges an admitted job until the ledger includes it.
-    pub(crate) fn begin(&mut self, attempt: &Attempt, charge: QuotaAmount, now: Time) {
-        self.admitted_at.insert(attempt.team.clone(), now);
-        self.in_flight.begin(attempt, charge);
+    /// Charges an admitted job until the ledger includes its charge.
+    pub(crate) fn begin_attempt(&mut self, attempt: &Attempt, charge: QuotaAmount, now: Time) {
+        self.last_admission_at.insert(attempt.team.clone(), now);
+        self.in_flight.add_attempt(attempt, charge);
     }
 
-    /// Records the outcome of an attempt. One that may be applied stays charged until the ledger shows more.
+    /// Records the outcome of an attempt. An attempt that may be applied remains charged until [`Self::prune`]
+    /// removes it.
     pub fn finish(&mut self, attempt: &Attempt, outcome: AttemptOutcome, now: Time) {
         self.in_flight.finish(attempt, outcome, now);
     }
 
-    /// Drops what the ledger shows by now: charges of known jobs, and attempts and transfers that can't be applied
-    /// any more, as a revision that they are conditional on has passed.
+    /// Removes charges of jobs that the ledger includes, and attempts and outgoing transfers that can no longer be
+    /// applied because a record on which they are conditional has a newer revision. `is_known` returns whether a job
+    /// is stored.
     pub fn prune(&mut self, ledger: &Ledger, is_known: impl Fn(&str) -> bool) {
         if !ledger.is_consistent() {
             return;
@@ -158,31 +165,31 @@
         self.in_flight.prune(ledger, node, is_known);
     }
 
-    /// Whether [`Self::prune`] has anything to wait for.
+    /// Whether any charge or outgoing transfer waits for [`Self::prune`].
     pub fn has_pending(&self) -> bool {
         !self.in_flight.is_empty() || !self.outgoing.is_empty()
     }
 
-    /// When this controller last admitted a job of a team.
-    pub(crate) fn admitted_at(&self, team: &str) -> Option<Time> {
-        self.admitted_at.get(team).copied()
+    /// Time at which this controller last admitted a job of a team.
+    pub(crate) fn last_admission_at(&self, team: &str) -> Option<Time> {
+        self.last_admission_at.get(team).copied()
     }
 
-    /// When this controller last decided on a job of a team.
-    pub(crate) fn asked_at(&self, team: &str) -> Option<Time> {
-        let short_at = self.shortages.own_at(team);
-        self.admitted_at(team)
+    /// Time at which this controller last admitted a job of a team or lacked units for one.
+    pub(crate) fn last_decision_at(&self, team: &str) -> Option<Time> {
+        let short_at = self.shortages.own_shortage_at(team);
+        self.last_admission_at(team)
             .into_iter()
             .chain(short_at)
             .reduce(f64::max)
     }
 
-    /// Whether a transfer out of this controller's allotment is without an outcome.
+    /// Whether the outcome of a transfer out of this controller's allotment of a team is unknown.
     pub(crate) fn has_outgoing(&self, team: &str) -> bool {
         self.outgoing.contains_key(team)
     }
 
-    /// A transfer takes units out of this controller's allotment, which is at a revision.
+    /// Records that a transfer out of this controller's allotment is sent, conditional on the allotment's revision.
     pub(crate) fn begin_transfer(&mut self, team: &Rc<str>, amount: QuotaAmount, revision: u64) {
         let outgoing = OutgoingTransfer {
             amount,
@@ -191,18 +198,18 @@
         self.outgoing.insert(team.clone(), outgoing);
     }
 
-    /// A transfer out of this controller's allotment has a definite outcome. If it was applied, the allotment has
-    /// a new revision, and nothing is admitted under the old one.
+    /// Records that the outcome of a transfer out of this controller's allotment is known. If it was applied, the
+    /// allotment has a new revision, and creations that are conditional on the old one are refused.
     pub fn transfer_settled(&mut self, team: &str) {
         self.outgoing.remove(team);
     }
 
-    /// Recent shortages of this controller, to be announced to the others.
+    /// Recent shortages of this controller by team, to be announced to other controllers.
     pub fn shortages(&self, now: Time) -> Vec<(Rc<str>, QuotaAmount)> {
-        self.shortages.own_recent(now)
+        self.shortages.recent_own_shortages(now)
     }
 
-    /// Records the announced shortage of another controller.
+    /// Records the shortage that another controller announced; one of this controller's own is ignored.
     pub fn on_request(&mut self, node: &Rc<str>, team: &Rc<str>, amount: QuotaAmount, now: Time) {
         self.shortages.discard_old_requests(now);
         if *node != self.node {
--- a/crates/quota/src/amount.rs
+++ b/crates/quota/src/amount.rs
@@ -1,21 +1,22 @@
-//! Amounts that quotas count, in whole units.
+//! Amounts of resources, tasks and jobs, counted in whole units.
 
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
 use serde::{Deserialize, Serialize};
 
-/// Stands for a limit that is not set. Far above any sum of charges, far below an overflow.
+/// The units of a limit that is not set. Larger than any sum of charges, and small enough that sums of it do not
+/// overflow.
 pub const UNBOUNDED: i64 = 1 << 50;
 
-/// What a quota limits.
+/// A quantity that a quota limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaDimension {
-    /// CPUs, in thousandths.
+    /// CPUs; one unit is a thousandth of a CPU.
     Cpus,
-    /// GPUs, in thousandths.
+    /// GPUs; one unit is a thousandth of a GPU.
     Gpus,
-    /// Memory, in MB.
+    /// Memory; one unit is a MB.
     Memory,
     /// Number of tasks.
     Tasks,
@@ -33,7 +34,7 @@
         QuotaDimension::Jobs,
     ];
 
-    /// Name in the settings.
+    /// Name of the dimension in the settings and in reports.
     pub fn name(self) -> &'static str {
         match self {
             QuotaDimension::Cpus => "cpus",
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Number of units per CPU, GPU, GB, task or job of the settings.
-    pub fn units(self) -> f64 {
+    /// Number of units in one CPU, GPU, GB, task or job, by which the settings count.
+    pub fn units_per_whole(self) -> f64 {
         match self {
             QuotaDimension::Cpus | QuotaDimension::Gpus | QuotaDimension::Memory => 1000.0,
             QuotaDimension::Tasks | QuotaDimension::Jobs => 1.0,
@@ -53,14 +54,14 @@
     }
 }
 
-/// A number of units of each dimension.
+/// Numbers of units, one for each dimension.
 ///
-/// Another type than the scheduler's resource vector, on purpose. That one has floating-point components, as it is
-/// compared with machines and priced. Quota accounts move amounts to and fro for months and must add up to the
-/// total exactly, at every controller; rounding errors would create or lose units. Whole units also have one stored
-/// form only. Tasks and jobs are limited as well, which no machine has.
+/// This type is deliberately not the scheduler's resource vector, whose components are floating-point numbers
+/// because it is compared with machines and priced. Quota accounts transfer amounts between each other for months,
+/// and must add up to the total exactly at every controller; rounding errors would create or lose units. Whole units
+/// also have a single stored form. Quotas limit tasks and jobs as well, which are not resources of a machine.
 ///
-/// Only the shared pool may be negative, when more is in use than there is.
+/// Of the stored amounts, only the shared pool may be negative: when teams hold more than a lowered total.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaAmount {
     #[serde(rename = "c", default, skip_serializing_if = "is_zero")]
@@ -80,7 +81,7 @@
 }
 
 impl QuotaAmount {
-    /// No units.
+    /// Zero units of each dimension.
     pub const ZERO: QuotaAmount = QuotaAmount {
         milli_cpus: 0,
         milli_gpus: 0,
@@ -89,7 +90,7 @@
         jobs: 0,
     };
 
-    /// An amount whose units of each dimension are given by a function.
+    /// Creates an amount from a function that returns the units of a dimension.
     pub fn from_fn(mut units: impl FnMut(QuotaDimension) -> i64) -> Self {
         QuotaAmount {
             milli_cpus: units(QuotaDimension::Cpus),
@@ -100,7 +101,7 @@
         }
     }
 
-    /// The charge of a job with so many tasks of a given size each. Fractions of a unit are rounded up.
+    /// The charge of a job with `tasks` tasks, each of the given size. Fractions of a unit are rounded up.
     pub fn of_job(tasks: u32, cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         QuotaAmount::from_fn(|dimension| {
             let per_task = match dimension {
@@ -110,12 +111,14 @@
                 QuotaDimension::Tasks => 1.0,
                 QuotaDimension::Jobs => return 1,
             };
-            let units = (per_task * dimension.units()).ceil().min(UNBOUNDED as f64) as i64;
+            let units = (per_task * dimension.units_per_whole())
+                .ceil()
+                .min(UNBOUNDED as f64) as i64;
             units.saturating_mul(i64::from(tasks)).min(UNBOUNDED)
         })
     }
 
-    /// The units of a dimension.
+    /// The number of units of a dimension.
     pub fn get(&self, dimension: QuotaDimension) -> i64 {
         match dimension {
             QuotaDimension::Cpus => self.milli_cpus,
@@ -130,47 +133,47 @@
         QuotaAmount::from_fn(|dimension| operation(self.get(dimension), other.get(dimension)))
     }
 
-    /// The smaller of each dimension.
+    /// The minimum of both amounts in each dimension.
     pub fn min(self, other: Self) -> Self {
         self.combine(other, i64::min)
     }
 
-    /// The larger of each dimension.
+    /// The maximum of both amounts in each dimension.
     pub fn max(self, other: Self) -> Self {
         self.combine(other, i64::max)
     }
 
-    /// The amount with negative dimensions raised to zero.
+    /// This amount with negative dimensions set to zero.
     pub fn non_negative(self) -> Self {
         self.max(QuotaAmount::ZERO)
     }
 
-    /// The amount divided by a number, rounded towards zero. A divisor below 1 counts as 1.
+    /// This amount divided by a number, rounded towards zero. A divisor below 1 counts as 1.
     pub fn divided_by(self, divisor: i64) -> Self {
         QuotaAmount::from_fn(|dimension| self.get(dimension) / divisor.max(1))
     }
 
-    /// Whether no dimension exceeds the other's.
+    /// Returns whether this amount is at most `other` in every dimension.
     pub fn fits_within(&self, other: &Self) -> bool {
         QuotaDimension::ALL
             .iter()
             .all(|dimension| self.get(*dimension) <= other.get(*dimension))
     }
 
-    /// Whether `available` suffices in each dimension of which this amount has any. Unlike [`Self::fits_within`] it
-    /// ignores negative amounts of dimensions that aren't needed.
+    /// Returns whether `available` is at least this amount in every dimension in which this amount is positive.
+    /// Unlike [`Self::fits_within`], ignores dimensions that are not needed, of which `available` may be negative.
     pub fn is_covered_by(&self, available: &Self) -> bool {
         QuotaDimension::ALL.iter().all(|dimension| {
             self.get(*dimension) <= 0 || self.get(*dimension) <= available.get(*dimension)
         })
     }
 
-    /// Whether it has no units of any dimension.
+    /// Whether every dimension is zero.
     pub fn is_zero(&self) -> bool {
         *self == QuotaAmount::ZERO
     }
 
-    /// The dimensions of which `needed` has any; the others are zero.
+    /// This amount with all dimensions set to zero in which `needed` is not positive.
     pub fn restricted_to(self, needed: Self) -> Self {
         self.combine(needed, |units, needed| if needed > 0 { units } else { 0 })
     }
@@ -202,7 +205,7 @@
     }
 }
 
-/// In the units of the settings. Dimensions that are zero or unbounded are left out.
+/// Writes CPUs, GPUs, GB, tasks and jobs as the settings do, without dimensions that are zero or unbounded.
 impl fmt::Display for QuotaAmount {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut separator = "";
@@ -211,7 +214,7 @@
             if units.abs() >= UNBOUNDED / 2 || units == 0 {
                 continue;
             }
-            let amount = units as f64 / dimension.units();
+            let amount = units as f64 / dimension.units_per_whole();
             write!(out, "{separator}{}={amount}", dimension.name())?;
             separator = " ";
         }
--- a/crates/quota/src/decision.rs
+++ b/crates/quota/src/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions on submitted jobs.
+//! Decisions whether submitted jobs are admitted.
 
 use std::rc::Rc;
 
@@ -9,33 +9,33 @@
 use crate::ledger::Ledger;
 use crate::transfer;
 
-/// Bounds in seconds of the time after which a refused user should try again.
+/// Bounds in seconds of the time after which a refused submission should be retried.
 const RETRY_MIN_S: f64 = 1.0;
 const RETRY_MAX_S: f64 = 30.0;
 
-/// That time if no units were released lately.
+/// Time in seconds after which a refused submission should be retried if no estimate of releases exists.
 const RETRY_DEFAULT_S: f64 = 5.0;
 
-/// Decision on a job.
+/// Decision on a submitted job.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// Store the job, on the conditions of the attempt.
+    /// The job is to be stored, conditional on the revisions of the attempt.
     Admitted(Attempt),
-    /// This controller lacks units, but [`transfer::refill`] can bring them.
+    /// This controller's allotment lacks units that [`transfer::refill`] can transfer to it.
     NeedsRefill,
-    /// Units are used up for now.
+    /// The units that this controller can obtain do not suffice at present, or the team is overdrawn.
     Refused {
-        /// Estimated time in seconds until there are enough.
+        /// Estimated time in seconds until enough units are released.
         retry_after_s: f64,
     },
-    /// Larger than the team's quota can ever be.
+    /// The job needs more units than its team can ever hold under the settings.
     ExceedsQuota,
-    /// The settings in force are other ones or being changed, or the store is being read anew.
+    /// The settings in force differ from this controller's or are being changed, or the ledger is incomplete.
     NotReady,
 }
 
 impl Admissions {
-    /// Decides on a job. One whose creation is in flight already is charged once.
+    /// Decides on a job. A job whose creation is already in flight is not charged again.
     pub fn decide(
         &mut self,
         ledger: &Ledger,
@@ -68,11 +68,12 @@
             team,
             settings_revision,
         };
-        self.begin(&attempt, charge, now);
+        self.begin_attempt(&attempt, charge, now);
         Decision::Admitted(attempt)
     }
 
-    /// Whether the team's account is up to date and not overdrawn, and this incarnation's allotment has enough.
+    /// Returns whether the team's record was written under the settings in force, the team is not overdrawn, and
+    /// this incarnation's allotment covers the charge.
     fn may_admit(&self, ledger: &Ledger, team: &str, charge: QuotaAmount) -> bool {
         let stored = ledger.teams.get(team);
         let Some(record) = stored.and_then(|team| team.stored.record.as_ref()) else {
@@ -84,6 +85,7 @@
             && charge.is_covered_by(&self.available(ledger, team))
     }
 
+    /// Records the shortage, to be announced to other controllers, and decides between a refill and a refusal.
     fn on_shortage(
         &mut self,
         ledger: &Ledger,
@@ -92,7 +94,7 @@
         now: Time,
     ) -> Decision {
         let missing = self.missing(ledger, team, charge);
-        self.shortages.record_own(team, missing, now);
+        self.shortages.record_own_shortage(team, missing, now);
         if transfer::refill(ledger, self, team, charge, now).is_some() {
             return Decision::NeedsRefill;
         }
--- a/crates/quota/src/in_flight.rs
+++ b/crates/quota/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! Charges of job creations whose outcome the ledger doesn't show yet.
+//! Charges of job creations that the ledger does not include yet.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -8,24 +8,25 @@
 use crate::ledger::Ledger;
 use crate::records::{AccountId, RevisionCondition};
 
-/// Time in seconds after which a creation that the ledger doesn't show may not have been applied.
-const DOUBT_S: f64 = 2.0;
+/// Time in seconds after which a creation in doubt that the ledger does not include is settled by a new revision of
+/// the allotment.
+const IN_DOUBT_LIMIT_S: f64 = 2.0;
 
-/// An attempt to create a job, which may be in flight.
+/// An attempt to create a job that is charged to an allotment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Attempt {
     /// Id of the job.
     pub job: Rc<str>,
-    /// Name of its team.
+    /// Name of the job's team.
     pub team: Rc<str>,
     pub(crate) settings_revision: u64,
     pub(crate) allotment_revision: u64,
-    /// The controller that makes the attempt.
+    /// Name of the controller that makes the attempt.
     pub(crate) node: Rc<str>,
 }
 
 impl Attempt {
-    /// Revisions that the creation must be conditional on.
+    /// The revisions on which the creation must be conditional.
     pub fn conditions(&self) -> [RevisionCondition; 2] {
         [
             RevisionCondition {
@@ -43,52 +44,52 @@
 /// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It was not applied, and never will be.
+    /// The creation was not applied and never will be.
     NotApplied,
-    /// It was applied, may have been, or may yet be.
+    /// The creation was applied, or its outcome is unknown.
     MayBeApplied,
 }
 
-/// The charge of a job with attempts in flight. Several attempts are charged once.
+/// The charge of a job with attempts in flight. Several attempts to create the same job are charged once.
 #[derive(Debug)]
 struct Charge {
     team: Rc<str>,
     amount: QuotaAmount,
-    /// Attempts without an outcome.
+    /// Number of attempts without an answer.
     unanswered: u32,
-    /// Since when some attempt may be applied, or may have been.
+    /// Time of the first outcome [`AttemptOutcome::MayBeApplied`]; None if no attempt has had this outcome.
     in_doubt_since: Option<Time>,
-    /// Latest revisions that an attempt is conditional on.
+    /// Highest revisions on which any attempt is conditional.
     settings_revision: u64,
     allotment_revision: u64,
 }
 
-/// All charges of one controller that the ledger may not include yet.
+/// All charges at one controller that the ledger may not include yet.
 #[derive(Debug, Default)]
 pub(crate) struct InFlightCharges {
     by_job: HashMap<Rc<str>, Charge>,
-    /// Sums by team.
+    /// Sum of the charges, by team.
     by_team: HashMap<Rc<str>, QuotaAmount>,
 }
 
 impl InFlightCharges {
-    /// Whether a job is charged.
+    /// Whether a job has a charge in flight.
     pub fn contains(&self, job: &str) -> bool {
         self.by_job.contains_key(job)
     }
 
-    /// Whether there is none.
+    /// Whether no charge is in flight.
     pub fn is_empty(&self) -> bool {
         self.by_job.is_empty()
     }
 
-    /// The sum of a team's charges.
+    /// Sum of a team's charges in flight.
     pub fn of_team(&self, team: &str) -> QuotaAmount {
         self.by_team.get(team).copied().unwrap_or_default()
     }
 
-    /// Adds an attempt.
-    pub fn begin(&mut self, attempt: &Attempt, amount: QuotaAmount) {
+    /// Adds an attempt, and the job's charge if this is its first attempt in flight.
+    pub fn add_attempt(&mut self, attempt: &Attempt, amount: QuotaAmount) {
         let by_team = &mut self.by_team;
         let charge = self.by_job.entry(attempt.job.clone()).or_insert_with(|| {
             *by_team.entry(attempt.team.clone()).or_default() += amount;
@@ -106,7 +107,8 @@
         charge.allotment_revision = charge.allotment_revision.max(attempt.allotment_revision);
     }
 
-    /// Records the outcome of an attempt. One that may be applied stays charged until the ledger shows more.
+    /// Records the outcome of an attempt. An attempt that may be applied remains charged until [`Self::prune`]
+    /// removes it.
     pub fn finish(&mut self, attempt: &Attempt, outcome: AttemptOutcome, now: Time) {
         let Some(charge) = self.by_job.get_mut(&attempt.job) else {
             return;
@@ -120,8 +122,8 @@
         }
     }
 
-    /// Removes the charges of jobs that the ledger includes, and of attempts that can't be applied any more, as a
-    /// revision that they are conditional on has passed.
+    /// Removes the charges of jobs that the ledger includes, and of attempts that can no longer be applied because a
+    /// record on which they are conditional has a newer revision. `is_known` returns whether a job is stored.
     pub fn prune(&mut self, ledger: &Ledger, node: &str, is_known: impl Fn(&str) -> bool) {
         let settings_revision = ledger.settings.revision;
         let settled = |(job, charge): (&Rc<str>, &Charge)| {
@@ -144,15 +146,15 @@
         }
     }
 
-    /// Whether creations of a team's jobs have been in doubt for long: a new revision of the allotment would settle
-    /// them.
-    pub fn has_doubts(&self, team: &str, now: Time) -> bool {
+    /// Returns whether a creation of a team's jobs has been in doubt for longer than [`IN_DOUBT_LIMIT_S`]. A new
+    /// revision of the allotment settles such creations.
+    pub fn has_creations_in_doubt(&self, team: &str, now: Time) -> bool {
         self.by_job.values().any(|charge| {
             &*charge.team == team
                 && charge.unanswered == 0
                 && charge
                     .in_doubt_since
-                    .is_some_and(|since| now - since > DOUBT_S)
+                    .is_some_and(|since| now - since > IN_DOUBT_LIMIT_S)
         })
     }
 }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,5 +1,5 @@
-//! Replica of what the store holds of quotas, which every controller follows. Usage is derived from the unfinished
-//! jobs, not stored.
+//! Each controller's replica of the quota accounts in the store. Usage is not stored but computed from the
+//! unfinished jobs.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound;
@@ -12,7 +12,7 @@
 };
 use crate::release_rate::ReleaseRate;
 
-/// A record and the revision of its last change; `None` if it was deleted or never existed.
+/// A record, or `None` if it was deleted or never existed, and the revision of its last change.
 #[derive(Debug, Clone)]
 pub(crate) struct Versioned<T> {
     pub record: Option<T>,
@@ -29,8 +29,8 @@
 }
 
 impl<T> Versioned<T> {
-    /// Sets the value as of a revision; false if a later one is known. Changes are delivered again after everything
-    /// was read anew.
+    /// Sets the value as of a revision. Returns false and changes nothing if a later value is known: after the store
+    /// was read again, earlier changes are delivered once more.
     fn set(&mut self, record: Option<T>, revision: u64) -> bool {
         if revision < self.revision {
             return false;
@@ -39,8 +39,8 @@
         true
     }
 
-    /// The revision that a condition must name: 0 if there is no record.
-    pub fn condition(&self) -> u64 {
+    /// The revision for a condition that the record is unchanged: 0 if there is no record.
+    pub fn expected_revision(&self) -> u64 {
         if self.record.is_some() {
             self.revision
         } else {
@@ -49,7 +49,7 @@
     }
 }
 
-/// An allotment and the charges to it.
+/// An allotment and the sum of the charges to it.
 #[derive(Debug, Default)]
 pub(crate) struct Allotment {
     pub stored: Versioned<AllotmentRecord>,
@@ -57,7 +57,7 @@
 }
 
 impl Allotment {
-    /// Its size; zero if there is no record.
+    /// Size of the allotment; zero if there is no record.
     pub fn size(&self) -> QuotaAmount {
         self.stored
             .record
@@ -66,7 +66,7 @@
     }
 }
 
-/// A team's record, its allotments by controller, and its jobs.
+/// A team's record, its allotments by controller, and the charges of its jobs.
 #[derive(Debug, Default)]
 pub(crate) struct Team {
     pub stored: Versioned<TeamRecord>,
@@ -76,51 +76,51 @@
     releases: ReleaseRate,
 }
 
-/// A team's units and their use, for operators.
+/// A team's units and their usage, for the report to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TeamUsage {
-    /// All units of the team.
+    /// All units of the team, guaranteed and borrowed.
     pub held: QuotaAmount,
-    /// Units in no allotment.
+    /// Units of the team in no allotment.
     pub free: QuotaAmount,
-    /// Units of all unfinished jobs, charged to an allotment or not.
+    /// Sum of the charges of all unfinished jobs, including those charged to no allotment.
     pub used: QuotaAmount,
-    /// The allotments, by the controllers' names.
+    /// The team's allotments, in the order of the controllers' names.
     pub allotments: Vec<AllotmentUsage>,
 }
 
-/// An allotment and its use, for operators.
+/// An allotment and its usage, for the report to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AllotmentUsage {
     /// Name of the controller.
     pub node: Rc<str>,
     /// The record as stored.
     pub record: AllotmentRecord,
-    /// Sum of the charges to it.
+    /// Sum of the charges to the allotment.
     pub used: QuotaAmount,
 }
 
-/// The replicated content of the store, as far as quotas are concerned.
+/// Replica of the quota accounts, and the charges of the unfinished jobs.
 #[derive(Debug, Default)]
 pub struct Ledger {
     revision: u64,
-    /// Revision of the last page of the initial read. Pages are read one after another: before the changes up to
-    /// this revision were applied, charges of jobs may be missing.
+    /// Revision of the last page of the initial read. Pages are read one after another at different revisions: until
+    /// the changes up to this revision are applied, charges of jobs may be missing.
     consistent_from: u64,
     pub(crate) settings: Versioned<SettingsRecord>,
     pub(crate) shared: Versioned<SharedRecord>,
     pub(crate) teams: HashMap<Rc<str>, Team>,
     owners: HashMap<Rc<str>, Versioned<OwnerRecord>>,
-    /// Teams of which a controller has an allotment, by controller.
-    pub(crate) teams_of: HashMap<Rc<str>, BTreeSet<Rc<str>>>,
-    /// Teams whose reserved units may differ from those of their uncharged jobs.
-    pub(crate) uncharged_changed: BTreeSet<Rc<str>>,
-    /// Teams with units in no allotment.
-    pub(crate) with_free: BTreeSet<Rc<str>>,
+    /// Teams of which a controller has had an allotment, by controller.
+    pub(crate) teams_by_node: HashMap<Rc<str>, BTreeSet<Rc<str>>>,
+    /// Teams whose `uncharged` units in the record may differ from the sum of their uncharged jobs.
+    pub(crate) teams_with_changed_uncharged: BTreeSet<Rc<str>>,
+    /// Teams with units that are in no allotment.
+    pub(crate) teams_with_free_units: BTreeSet<Rc<str>>,
 }
 
 impl Ledger {
-    /// Applies the change of a record.
+    /// Applies the change of a record as of a revision. Changes older than the known value are ignored.
     pub fn apply(&mut self, change: AccountChange, revision: u64) {
         match change {
             AccountChange::Settings(record) => {
@@ -147,27 +147,27 @@
         if !team.stored.set(record, revision) {
             return;
         }
-        self.uncharged_changed.insert(name.clone());
+        self.teams_with_changed_uncharged.insert(name.clone());
         if has_free {
-            self.with_free.insert(name);
+            self.teams_with_free_units.insert(name);
         } else {
-            self.with_free.remove(&name);
+            self.teams_with_free_units.remove(&name);
         }
     }
 
     fn allotment_entry(&mut self, team: &Rc<str>, node: &Rc<str>) -> &mut Allotment {
-        let teams = self.teams_of.entry(node.clone()).or_default();
+        let teams = self.teams_by_node.entry(node.clone()).or_default();
         teams.insert(team.clone());
         let team = self.teams.entry(team.clone()).or_default();
         team.allotments.entry(node.clone()).or_default()
     }
 
-    /// A job was stored that is charged to the allotment of `node`, or to none.
+    /// Adds the charge of a stored job to the allotment of `node`, or to no allotment if `node` is None.
     pub fn charge(&mut self, team: &Rc<str>, node: Option<&Rc<str>>, charge: QuotaAmount) {
-        *self.usage(team, node) += charge;
+        *self.usage_mut(team, node) += charge;
     }
 
-    /// A job that was charged has finished and is off all machines.
+    /// Removes the charge of a job that has finished, and records it in the team's release rate.
     pub fn release(
         &mut self,
         team: &Rc<str>,
@@ -175,66 +175,66 @@
         charge: QuotaAmount,
         now: Time,
     ) {
-        *self.usage(team, node) -= charge;
+        *self.usage_mut(team, node) -= charge;
         if let Some(team) = self.teams.get_mut(team) {
             team.releases.record(charge, now);
         }
     }
 
-    fn usage(&mut self, team: &Rc<str>, node: Option<&Rc<str>>) -> &mut QuotaAmount {
+    fn usage_mut(&mut self, team: &Rc<str>, node: Option<&Rc<str>>) -> &mut QuotaAmount {
         match node {
             Some(node) => &mut self.allotment_entry(team, node).used,
             None => {
-                self.uncharged_changed.insert(team.clone());
+                self.teams_with_changed_uncharged.insert(team.clone());
                 &mut self.teams.entry(team.clone()).or_default().uncharged
             }
         }
     }
 
-    /// All changes up to a revision were applied.
+    /// Records that all changes up to a revision are applied.
     pub fn reached(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Everything was read by pages, of which the last was as of this revision.
+    /// Records the revision of the last page of an initial read.
     pub fn read_until(&mut self, revision: u64) {
         self.consistent_from = revision;
     }
 
-    /// Whether charges and accounts are as of the same revision.
+    /// Whether charges and accounts are complete and as of the same revision.
     pub fn is_consistent(&self) -> bool {
         self.revision >= self.consistent_from
     }
 
-    /// The settings in force and the revision of their record.
+    /// The stored settings record and its revision; None if no quotas are in force.
     pub fn settings(&self) -> Option<(&SettingsRecord, u64)> {
         let record = self.settings.record.as_ref()?;
         Some((record, self.settings.revision))
     }
 
-    /// The generation of the settings in force.
+    /// Generation of the stored settings; None if no quotas are in force.
     pub(crate) fn generation(&self) -> Option<u64> {
         Some(self.settings.record.as_ref()?.generation)
     }
 
-    /// Units in the shared pool.
+    /// Units in the shared pool; None before settings were put in force for the first time.
     pub fn shared_free(&self) -> Option<QuotaAmount> {
         Some(self.shared.record.as_ref()?.free)
     }
 
-    /// Whether a controller's lease in the store is alive.
+    /// Whether a controller's lease in the store is live: its expiry deletes the controller's owner record.
     pub fn is_present(&self, node: &str) -> bool {
         self.owners
             .get(node)
             .is_some_and(|owner| owner.record.is_some())
     }
 
-    /// Controllers that have allotments.
-    pub fn nodes(&self) -> impl Iterator<Item = &Rc<str>> {
-        self.teams_of.keys()
+    /// Names of the controllers that have or had allotments.
+    pub fn nodes_with_allotments(&self) -> impl Iterator<Item = &Rc<str>> {
+        self.teams_by_node.keys()
     }
 
-    /// A controller's allotment of a team, and the charges to it.
+    /// A controller's allotment of a team, and the sum of the charges to it.
     pub(crate) fn allotment(&self, team: &str, node: &str) -> Option<&Allotment> {
         self.teams.get(team)?.allotments.get(node)
     }
@@ -244,23 +244,23 @@
         self.allotment(team, node)?.stored.record.as_ref()
     }
 
-    /// The revision of a controller's allotment, as a condition names it.
+    /// The revision for a condition that a controller's allotment is unchanged: 0 if there is no record.
     pub(crate) fn allotment_revision(&self, team: &str, node: &str) -> u64 {
         self.allotment(team, node)
-            .map_or(0, |allotment| allotment.stored.condition())
+            .map_or(0, |allotment| allotment.stored.expected_revision())
     }
 
-    /// Estimated time in seconds until so much of a team's charges is released.
+    /// Estimated time in seconds until `need` of a team's charges is released; None if a needed dimension has no releases.
     pub(crate) fn release_wait_s(&self, team: &str, need: QuotaAmount, now: Time) -> Option<f64> {
         self.teams.get(team)?.releases.wait_s(need, now)
     }
 
-    /// Names of the known teams.
+    /// Names of the teams with a record, an allotment or a charge, in no particular order.
     pub fn team_names(&self) -> impl Iterator<Item = &Rc<str>> {
         self.teams.keys()
     }
 
-    /// A team's units and their use.
+    /// A team's units and their usage; None if the team is unknown.
     pub fn team_usage(&self, name: &str) -> Option<TeamUsage> {
         let team = self.teams.get(name)?;
         let record = team.stored.record.as_ref();
@@ -281,8 +281,12 @@
     }
 }
 
-/// The name after `last` in the order of names; the first one if there is no last, `None` once after each turn.
-pub(crate) fn next_in_turn(names: &BTreeSet<Rc<str>>, last: Option<&Rc<str>>) -> Option<Rc<str>> {
+/// The name after `last` in the order of names, or the first name if `last` is `None`. Returns `None` after the last
+/// name, so a caller that passes the result back in pauses once per pass over the names.
+pub(crate) fn next_in_name_order(
+    names: &BTreeSet<Rc<str>>,
+    last: Option<&Rc<str>>,
+) -> Option<Rc<str>> {
     let next = match last {
         None => names.first(),
         Some(last) => {
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,17 +1,23 @@
 //! Admission quotas of teams, enforced by all controllers together.
 //!
-//! Each team's quota is divided into *allotments*, one per controller, which are small records in a key-value store
-//! with atomic conditional transactions (an escrow scheme). A controller admits jobs from its own allotment without
-//! asking anyone: the creation of a job is conditional on the revision of the allotment it is charged to. Whoever
-//! changes an allotment thereby refuses every admission still in flight against the old one.
+//! A team's quota consists of a *guarantee*, which other teams cannot use, and a *limit*. Units that are guaranteed
+//! to no team form the *shared pool*, from which a team borrows up to its limit. A job is *charged* to its team from
+//! its admission until it has finished.
 //!
-//! This package knows neither the store's protocol nor the names of its keys, and does no input or output:
+//! The units of each team are divided into *allotments*, one per controller. Allotments are small records in a
+//! key-value store with atomic conditional transactions (an escrow scheme). A controller admits jobs from its own
+//! allotment without contacting other controllers: the creation of a job is conditional on the revision of the
+//! allotment to which it is charged. A change of an allotment therefore invalidates all creations in flight that are
+//! conditional on its previous revision.
+//!
+//! This package does no input or output, and does not depend on the store's protocol or key names:
 //!
 //! - [`Ledger`] is the replicated content of the store: accounts, and the charges of unfinished jobs;
-//! - [`Admissions`] decides at one controller, and tracks the charges of creations that may yet be applied;
-//! - [`Plan`] is a transaction that moves units between accounts, made by [`transfer`] and [`supervise`].
+//! - [`Admissions`] decides on submissions at one controller, and tracks the charges of creations that may still be
+//!   applied;
+//! - [`Plan`] is a transaction that moves units between accounts. [`transfer`] and [`supervise`] create plans.
 //!
-//! Modules, each using only those before it: `amount`, [`settings`](QuotaSettings), `records`, `release_rate`,
+//! Each module uses only those listed before it: `amount`, [`settings`](QuotaSettings), `records`, `release_rate`,
 //! `ledger`, `in_flight` and `shortages`, `admission` (the state of a controller), `team_account`, [`transfer`],
 //! `decision`, [`supervise`].
 
@@ -43,5 +49,5 @@
     DimensionFigures, QuotaSection, QuotaSettings, SettingsError, TeamQuota, TeamSection,
 };
 
-/// Seconds on a steady clock.
+/// Time in seconds on a monotonic clock.
 pub type Time = f64;
--- a/crates/quota/src/records.rs
+++ b/crates/quota/src/records.rs
@@ -1,4 +1,4 @@
-//! Records that the store holds of quotas, and transactions on them.
+//! Quota records in the store, and transactions on them.
 
 use std::rc::Rc;
 
@@ -6,13 +6,14 @@
 
 use crate::amount::QuotaAmount;
 
-/// The quota settings in force.
+/// The quota settings in force, which must match those with which a controller is configured.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsRecord {
-    /// Digest of the settings.
+    /// Digest of the settings, from [`crate::QuotaSettings::digest`].
     #[serde(rename = "digest")]
     pub digest: String,
-    /// Number of changes of the settings so far.
+    /// Number of changes of the settings so far; each record of a team names the generation that it was written
+    /// under.
     #[serde(rename = "generation")]
     pub generation: u64,
     /// Whether jobs are admitted. False while a change of the settings is being applied.
@@ -20,8 +21,8 @@
     pub open: bool,
 }
 
-/// The shared pool: units that are neither guaranteed to a team nor borrowed by one. Negative if more is in use than
-/// there is, as after the total was lowered.
+/// The shared pool: units that are neither guaranteed to a team nor borrowed by one. Negative if teams hold more
+/// than the total, which happens after the total was lowered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedRecord {
     /// Units that any team may borrow.
@@ -29,19 +30,20 @@
     pub free: QuotaAmount,
 }
 
-/// The units of a team: its guarantee and what it borrowed. `held` = `free` + `uncharged` + all its allotments.
+/// The units of a team: its guarantee and the units it borrowed. `held` = `free` + `uncharged` + all its allotments.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamRecord {
-    /// Generation of the settings under which this was written.
+    /// Generation of the settings under which this record was written.
     #[serde(rename = "generation")]
     pub generation: u64,
-    /// All units of the team.
+    /// All units of the team, guaranteed and borrowed.
     #[serde(rename = "held")]
     pub held: QuotaAmount,
     /// Units in no controller's allotment.
     #[serde(rename = "free")]
     pub free: QuotaAmount,
-    /// Units reserved for unfinished jobs that are charged to no allotment.
+    /// Units reserved for unfinished jobs that are charged to no allotment: earlier versions stored jobs without
+    /// one.
     #[serde(rename = "uncharged", default)]
     pub uncharged: QuotaAmount,
 }
@@ -49,49 +51,49 @@
 /// Units of a team from which one controller admits jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllotmentRecord {
-    /// Incarnation of the controller that admits from it; [`Self::UNOWNED`] after it was reclaimed.
+    /// Incarnation of the controller that admits jobs from it; [`Self::UNOWNED`] from the first step of a reclaim on.
     #[serde(rename = "incarnation")]
     pub incarnation: u64,
-    /// Largest sum of charges.
+    /// Upper limit of the sum of the charges to it.
     #[serde(rename = "size")]
     pub size: QuotaAmount,
 }
 
 impl AllotmentRecord {
-    /// The incarnation of an allotment from which no process admits.
+    /// Stored as the incarnation of an allotment from which no controller admits jobs.
     pub const UNOWNED: u64 = 0;
 }
 
-/// Presence of a controller; the record is attached to its lease in the store.
+/// Shows that a controller is running: the store deletes the record when the controller's lease there expires.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerRecord {
-    /// Incarnation of the controller.
+    /// Incarnation of the running controller.
     #[serde(rename = "incarnation")]
     pub incarnation: u64,
 }
 
-/// Identifies a record.
+/// Identifies a quota record in the store.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AccountId {
-    /// [`SettingsRecord`].
+    /// The [`SettingsRecord`] of the deployment.
     Settings,
-    /// [`SharedRecord`].
+    /// The [`SharedRecord`] of the deployment.
     Shared,
-    /// [`TeamRecord`] of a team.
+    /// The [`TeamRecord`] of the named team.
     Team(Rc<str>),
-    /// [`AllotmentRecord`].
+    /// The [`AllotmentRecord`] of a team at a controller.
     Allotment {
         /// Name of the team.
         team: Rc<str>,
         /// Name of the controller.
         node: Rc<str>,
     },
-    /// [`OwnerRecord`] of a controller.
+    /// The [`OwnerRecord`] of the named controller.
     Owner(Rc<str>),
 }
 
 impl AccountId {
-    /// A controller's allotment of a team.
+    /// Identifies a controller's allotment of a team.
     pub(crate) fn allotment(team: &Rc<str>, node: &Rc<str>) -> Self {
         AccountId::Allotment {
             team: team.clone(),
@@ -100,14 +102,14 @@
     }
 }
 
-/// The new value of a record; `None`: it was deleted.
+/// The new value of a record, or `None` if the record is deleted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AccountChange {
     /// The settings in force.
     Settings(Option<SettingsRecord>),
     /// The shared pool.
     Shared(Option<SharedRecord>),
-    /// A team's units.
+    /// The units of the named team.
     Team(Rc<str>, Option<TeamRecord>),
     /// A controller's allotment.
     Allotment {
@@ -115,15 +117,15 @@
         team: Rc<str>,
         /// Name of the controller.
         node: Rc<str>,
-        /// The new value.
+        /// The new value, or `None` if the record is deleted.
         record: Option<AllotmentRecord>,
     },
-    /// Presence of a controller.
+    /// Presence of the named controller.
     Owner(Rc<str>, Option<OwnerRecord>),
 }
 
 impl AccountChange {
-    /// The record that is changed.
+    /// Identifies the changed record.
     pub fn account(&self) -> AccountId {
         match self {
             AccountChange::Settings(_) => AccountId::Settings,
@@ -135,28 +137,28 @@
     }
 }
 
-/// Requires a record to be unchanged since a revision.
+/// Condition that a record is unchanged since a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RevisionCondition {
     /// The record.
     pub account: AccountId,
-    /// Revision of its last change; 0: the record must be absent.
+    /// Revision of the record's last change; 0 requires that the record does not exist.
     pub revision: u64,
 }
 
-/// A transaction that is yet to be sent: applied as a whole if all conditions hold, else not at all.
+/// A transaction to be sent to the store, which applies all changes if all conditions hold, and otherwise none.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
     /// Records that must be unchanged.
     pub conditions: Vec<RevisionCondition>,
-    /// Records that are written.
+    /// Records that are written or deleted.
     pub changes: Vec<AccountChange>,
-    /// Whether the transaction must also be conditional on the sender's leadership.
+    /// Whether the transaction must also be conditional on the sender's fencing token as the leader.
     pub requires_leader: bool,
 }
 
 impl Plan {
-    /// No changes yet, on the condition that the settings are unchanged since `settings_revision`.
+    /// A plan without changes, conditional on the settings being unchanged since `settings_revision`.
     pub(crate) fn under_settings(settings_revision: u64) -> Self {
         let mut plan = Plan {
             conditions: Vec::new(),
@@ -167,7 +169,7 @@
         plan
     }
 
-    /// Adds a condition.
+    /// Adds a condition that a record is unchanged since a revision.
     pub(crate) fn require(&mut self, account: AccountId, revision: u64) {
         self.conditions
             .push(RevisionCondition { account, revision });
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of operators: the total of the deployment, and each team's guarantee and limit.
+//! Quota settings written by operators: the total of the deployment, and each team's guarantee and limit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,41 +7,41 @@
 
 use crate::amount::{QuotaAmount, QuotaDimension, UNBOUNDED};
 
-/// Length of a digest in bytes; the rest of the hash is dropped.
+/// Length in bytes to which the hash is truncated for a digest.
 const DIGEST_BYTES: usize = 12;
 
-/// The section `quota` of the features file, as written.
+/// The section `quota` of the features file, before validation.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaSection {
-    /// Upper limit of the unfinished jobs of all teams together.
+    /// Upper limit of the charges of all teams' unfinished jobs together.
     pub total: DimensionFigures,
     /// Teams with a guarantee or a limit of their own.
     #[serde(default)]
     pub teams: Vec<TeamSection>,
 }
 
-/// A team's quota in the section.
+/// A team's quota in the section, before validation.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamSection {
-    /// Name of the team, as in the platform's settings.
+    /// Name of the team, which must exist in the platform's settings.
     pub name: String,
-    /// Units that other teams can't use up.
+    /// Amounts that other teams cannot use; zero in dimensions that are not set.
     #[serde(default)]
     pub guaranteed: DimensionFigures,
-    /// Upper limit of the team's unfinished jobs.
+    /// Upper limit of the charges of the team's unfinished jobs; the total in dimensions that are not set.
     #[serde(default)]
     pub limit: DimensionFigures,
 }
 
-/// Amounts of some dimensions, as written; the others are not set.
+/// Amounts by dimension as written in the settings; `None` if a dimension is not set.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DimensionFigures {
-    /// CPUs of all tasks.
+    /// Number of CPUs of all tasks.
     pub cpus: Option<f64>,
-    /// GPUs of all tasks.
+    /// Number of GPUs of all tasks.
     pub gpus: Option<f64>,
     /// Memory of all tasks, in GB.
     pub memory_gb: Option<f64>,
@@ -62,35 +62,35 @@
         }
     }
 
-    /// The amount in units, with dimensions that are not set taken from `default`.
+    /// The amount in units; dimensions that are not set have the units of `default`.
     fn amount_or(&self, default: QuotaAmount) -> QuotaAmount {
         QuotaAmount::from_fn(|dimension| {
             self.get(dimension)
                 .map_or(default.get(dimension), |figure| {
-                    (figure * dimension.units()).round() as i64
+                    (figure * dimension.units_per_whole()).round() as i64
                 })
         })
     }
 }
 
-/// Why quotas can't be used.
+/// Why quota settings are rejected.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// A figure is zero, negative, not finite, too large, or a fraction of a task or job.
+    /// An amount is zero, negative, not finite, too large, or a fraction of a task or job.
     #[error("{field}: {value} is not a usable amount")]
-    Figure {
-        /// Name of the field, with its sections.
+    InvalidAmount {
+        /// Path of the field in the settings.
         field: String,
-        /// Its value.
+        /// Value of the field.
         value: f64,
     },
-    /// The platform's settings have no such team.
+    /// The platform's settings have no team of this name.
     #[error("quota.teams: unknown team {0}")]
     UnknownTeam(String),
-    /// The team has more than one section.
+    /// More than one section has this team's name.
     #[error("quota.teams: {0} twice")]
-    TeamTwice(String),
-    /// The guarantee exceeds the team's limit, so part of it could never be used.
+    DuplicateTeam(String),
+    /// The guarantee exceeds the team's limit, so part of the guarantee could never be used.
     #[error("quota.teams.{team}: guaranteed {dimension} above its limit")]
     GuaranteeAboveLimit {
         /// Name of the team.
@@ -98,7 +98,7 @@
         /// Name of the dimension.
         dimension: &'static str,
     },
-    /// The limit exceeds the total, so it could never be reached.
+    /// The limit exceeds the total, so usage could never reach the limit.
     #[error("quota.teams.{team}: limit of {dimension} above the total")]
     LimitAboveTotal {
         /// Name of the team.
@@ -106,21 +106,21 @@
         /// Name of the dimension.
         dimension: &'static str,
     },
-    /// The guarantees of all teams exceed the total.
+    /// The sum of all guarantees exceeds the total.
     #[error("quota.total: guarantees of {dimension} sum to more than the total")]
     GuaranteesAboveTotal {
         /// Name of the dimension.
         dimension: &'static str,
     },
-    /// Neither a total nor a team is set.
+    /// The section sets neither an amount of the total nor a team.
     #[error("quota.total: names no amount")]
-    NoTotal,
+    NoAmount,
 }
 
 /// A team's guarantee and limit. The serialized form is part of the settings digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct TeamQuota {
-    /// Units that other teams can't use up.
+    /// Units that other teams cannot use.
     #[serde(rename = "guaranteed")]
     pub guaranteed: QuotaAmount,
     /// Upper limit of the units charged to the team.
@@ -128,7 +128,7 @@
     pub limit: QuotaAmount,
 }
 
-/// Validated quotas. The serialized form is the input of [`Self::digest`].
+/// Validated quotas of all teams. The serialized form is the input of [`Self::digest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct QuotaSettings {
     #[serde(rename = "total")]
@@ -141,21 +141,22 @@
 }
 
 impl QuotaSettings {
-    /// Validates a section against the teams of the platform's settings. All problems are returned.
+    /// Validates a section; `known_teams` are the teams of the platform's settings. If any amount is invalid,
+    /// returns the errors of all amounts, otherwise all other errors.
     pub fn check(
         section: &QuotaSection,
         known_teams: &BTreeSet<&str>,
     ) -> Result<Self, Vec<SettingsError>> {
         let mut errors = Vec::new();
-        check_figures("quota.total", &section.total, &mut errors);
+        check_amounts("quota.total", &section.total, &mut errors);
         for team in &section.teams {
             let field = format!("quota.teams.{}", team.name);
-            check_figures(
+            check_amounts(
                 &format!("{field}.guaranteed"),
                 &team.guaranteed,
                 &mut errors,
             );
-            check_figures(&format!("{field}.limit"), &team.limit, &mut errors);
+            check_amounts(&format!("{field}.limit"), &team.limit, &mut errors);
         }
         if !errors.is_empty() {
             return Err(errors);
@@ -163,7 +164,7 @@
         let unbounded = QuotaAmount::from_fn(|_| UNBOUNDED);
         let total = section.total.amount_or(unbounded);
         if total == unbounded && section.teams.is_empty() {
-            errors.push(SettingsError::NoTotal);
+            errors.push(SettingsError::NoAmount);
         }
         let mut settings = QuotaSettings {
             total,
@@ -186,6 +187,7 @@
         }
     }
 
+    /// Adds a team's quota and its guarantee to the sum of guarantees.
     fn add_team(
         &mut self,
         team: &TeamSection,
@@ -212,7 +214,7 @@
         }
         self.reserved += quota.guaranteed;
         if self.teams.insert(name.clone(), quota).is_some() {
-            errors.push(SettingsError::TeamTwice(name));
+            errors.push(SettingsError::DuplicateTeam(name));
         }
     }
 
@@ -228,7 +230,7 @@
             .map(|(name, quota)| (name.as_str(), *quota))
     }
 
-    /// A team's quota. A team without one of its own has no guarantee, and may borrow up to the total.
+    /// A team's quota. A team without a quota of its own has no guarantee, and may borrow up to the total.
     pub fn team(&self, name: &str) -> TeamQuota {
         let default = TeamQuota {
             guaranteed: QuotaAmount::ZERO,
@@ -237,7 +239,7 @@
         self.teams.get(name).copied().unwrap_or(default)
     }
 
-    /// An amount without the dimensions in which a team is unlimited: these need no accounts.
+    /// An amount with the dimensions set to zero in which a team has no limit: accounts do not count these.
     pub fn counted(&self, name: &str, amount: QuotaAmount) -> QuotaAmount {
         let limit = self.team(name).limit;
         QuotaAmount::from_fn(|dimension| {
@@ -254,13 +256,13 @@
         self.reserved
     }
 
-    /// Units that a team could hold if no other team borrowed any: a larger job can never be admitted.
+    /// Units that a team could hold if no other team borrowed any. A job that needs more can never be admitted.
     pub fn obtainable(&self, name: &str) -> QuotaAmount {
         let team = self.team(name);
         team.limit.min(team.guaranteed + self.total - self.reserved)
     }
 
-    /// Identifies these quotas: equal at all controllers with the same quotas, and at no others.
+    /// A hash that is equal only for equal quotas. Controllers compare theirs with that of the settings in force.
     pub fn digest(&self) -> String {
         let text = serde_json::to_vec(self).unwrap_or_default();
         let hash = Sha256::digest(&text);
@@ -271,18 +273,18 @@
     }
 }
 
-/// Adds an error for each figure that isn't a usable amount.
-fn check_figures(field: &str, figures: &DimensionFigures, errors: &mut Vec<SettingsError>) {
+/// Adds an error for each amount that is not usable.
+fn check_amounts(field: &str, figures: &DimensionFigures, errors: &mut Vec<SettingsError>) {
     for dimension in QuotaDimension::ALL {
         let Some(value) = figures.get(dimension) else {
             continue;
         };
-        let units = value * dimension.units();
-        let whole = dimension.units() > 1.0 || value.fract() == 0.0;
+        let units = value * dimension.units_per_whole();
+        let whole = dimension.units_per_whole() > 1.0 || value.fract() == 0.0;
         let usable = units.is_finite() && units.round() >= 1.0 && units < UNBOUNDED as f64 / 4.0;
         if !(usable && whole) {
             let field = format!("{field}.{}", dimension.name());
-            errors.push(SettingsError::Figure { field, value });
+            errors.push(SettingsError::InvalidAmount { field, value });
         }
     }
 }
--- a/crates/quota/src/shortages.rs
+++ b/crates/quota/src/shortages.rs
@@ -1,4 +1,4 @@
-//! Recent shortages of this controller and of others, which decide who hands units to whom.
+//! Recent shortages of this controller and of others, which decide between which allotments units are transferred.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -6,56 +6,61 @@
 use crate::Time;
 use crate::amount::QuotaAmount;
 
-/// Time in seconds for which a shortage counts and is announced to other controllers.
-const SHORTAGE_S: f64 = 5.0;
+/// Time in seconds for which a shortage is taken into account and announced to other controllers.
+const SHORTAGE_LIFETIME_S: f64 = 5.0;
 
-/// Largest number of requests of other controllers, and of teams with a shortage, that are kept.
+/// Maximum number of stored requests of other controllers, and of stored teams with a shortage.
 const REQUESTS_MAX: usize = 1024;
 
-/// Units that another controller asked for.
+/// A request of another controller for units.
 #[derive(Debug, Clone, Copy)]
 struct UnitRequest {
     amount: QuotaAmount,
-    at: Time,
+    received_at: Time,
 }
 
-/// Units that another controller asked for, taken from the queue.
+/// A request of another controller, removed from the queue.
 pub(crate) struct RequestedUnits {
     /// Name of the team.
     pub team: Rc<str>,
-    /// The controller that asked.
+    /// Name of the requesting controller.
     pub node: Rc<str>,
-    /// What it asked for.
+    /// Units that the requesting controller lacks.
     pub amount: QuotaAmount,
 }
 
-/// What this controller lacked for a job.
+/// Units that this controller lacked to admit a job.
 #[derive(Debug, Clone, Copy)]
 struct OwnShortage {
     missing: QuotaAmount,
-    at: Time,
+    occurred_at: Time,
 }
 
-/// Recent shortages, as one controller knows them.
+/// Recent shortages known to one controller.
 #[derive(Debug, Default)]
 pub(crate) struct Shortages {
-    /// The last shortage of this controller, by team.
-    own: HashMap<Rc<str>, OwnShortage>,
+    /// Latest shortage of this controller, by team.
+    own_shortages: HashMap<Rc<str>, OwnShortage>,
     /// Requests of other controllers, by team and controller.
     requests: BTreeMap<(Rc<str>, Rc<str>), UnitRequest>,
-    /// Teams with a shortage at any controller, and until when it counts.
+    /// Teams with a shortage at any controller, and the time until which it is taken into account.
     short_until: BTreeMap<Rc<str>, Time>,
 }
 
 impl Shortages {
-    /// Records that this controller lacked units for a job.
-    pub fn record_own(&mut self, team: &Rc<str>, missing: QuotaAmount, now: Time) {
-        self.own
-            .insert(team.clone(), OwnShortage { missing, at: now });
-        self.record_team(team, now);
+    /// Records that this controller lacked units to admit a job.
+    pub fn record_own_shortage(&mut self, team: &Rc<str>, missing: QuotaAmount, now: Time) {
+        self.own_shortages.insert(
+            team.clone(),
+            OwnShortage {
+                missing,
+                occurred_at: now,
+            },
+        );
+        self.mark_team_short(team, now);
     }
 
-    /// Records the request of another controller, unless there are too many.
+    /// Records the request of another controller; ignores it if [`REQUESTS_MAX`] requests are stored.
     pub fn record_request(
         &mut self,
         node: &Rc<str>,
@@ -64,26 +69,30 @@
         now: Time,
     ) {
         if self.requests.len() < REQUESTS_MAX {
-            let request = UnitRequest { amount, at: now };
+            let request = UnitRequest {
+                amount,
+                received_at: now,
+            };
             self.requests.insert((team.clone(), node.clone()), request);
-            self.record_team(team, now);
+            self.mark_team_short(team, now);
         }
     }
 
-    /// Drops requests that are too old to count.
+    /// Discards requests older than [`SHORTAGE_LIFETIME_S`].
     pub fn discard_old_requests(&mut self, now: Time) {
         self.requests
-            .retain(|_, request| now - request.at < SHORTAGE_S);
+            .retain(|_, request| now - request.received_at < SHORTAGE_LIFETIME_S);
     }
 
-    fn record_team(&mut self, team: &Rc<str>, now: Time) {
+    fn mark_team_short(&mut self, team: &Rc<str>, now: Time) {
         self.short_until.retain(|_, until| now < *until);
         if self.short_until.len() < REQUESTS_MAX {
-            self.short_until.insert(team.clone(), now + SHORTAGE_S);
+            self.short_until
+                .insert(team.clone(), now + SHORTAGE_LIFETIME_S);
         }
     }
 
-    /// Takes the first request from the queue.
+    /// Removes and returns the first request in the order of team and controller names.
     pub fn pop_request(&mut self) -> Option<RequestedUnits> {
         let ((team, node), request) = self.requests.pop_first()?;
         Some(RequestedUnits {
@@ -93,22 +102,24 @@
         })
     }
 
-    /// The recent shortages of this controller, to be announced to the others.
-    pub fn own_recent(&self, now: Time) -> Vec<(Rc<str>, QuotaAmount)> {
+    /// Recent shortages of this controller by team, to be announced to other controllers.
+    pub fn recent_own_shortages(&self, now: Time) -> Vec<(Rc<str>, QuotaAmount)> {
         let recent = |(team, shortage): (&Rc<str>, &OwnShortage)| {
-            (now - shortage.at < SHORTAGE_S).then(|| (team.clone(), shortage.missing))
+            (now - shortage.occurred_at < SHORTAGE_LIFETIME_S)
+                .then(|| (team.clone(), shortage.missing))
         };
-        self.own.iter().filter_map(recent).collect()
+        self.own_shortages.iter().filter_map(recent).collect()
     }
 
-    /// When this controller last lacked units of a team.
-    pub fn own_at(&self, team: &str) -> Option<Time> {
-        Some(self.own.get(team)?.at)
+    /// Time at which this controller last lacked units of a team.
+    pub fn own_shortage_at(&self, team: &str) -> Option<Time> {
+        Some(self.own_shortages.get(team)?.occurred_at)
     }
 
     /// Whether this controller recently lacked units of a team.
-    pub fn is_own_recent(&self, team: &str, now: Time) -> bool {
-        self.own_at(team).is_some_and(|at| now - at < SHORTAGE_S)
+    pub fn has_recent_own_shortage(&self, team: &str, now: Time) -> bool {
+        self.own_shortage_at(team)
+            .is_some_and(|at| now - at < SHORTAGE_LIFETIME_S)
     }
 
     /// Whether any controller recently lacked units of a team.
@@ -116,7 +127,8 @@
         self.short_until.get(team).is_some_and(|until| now < *until)
     }
 
-    /// Whether any controller recently lacked units of another team, which could borrow what this one doesn't use.
+    /// Whether any controller recently lacked units of a team other than `team`. That team could borrow units that
+    /// `team` borrowed and does not use.
     pub fn is_other_team_short(&self, team: &str, now: Time) -> bool {
         let mut others = self.short_until.iter().filter(|(name, _)| &***name != team);
         others.any(|(_, until)| now < *until)
--- a/crates/quota/src/supervise.rs
+++ b/crates/quota/src/supervise.rs
@@ -1,42 +1,44 @@
-//! Transactions that only the leader makes: it puts settings in force, reclaims allotments of controllers that are
-//! gone, and reserves units for jobs that are charged to no allotment.
+//! Transactions that only the leader sends: it puts settings in force, reclaims allotments of unreachable
+//! controllers, reserves units for jobs that are charged to no allotment, and returns borrowed units to the shared
+//! pool.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
 use crate::admission::Admissions;
 use crate::amount::QuotaAmount;
-use crate::ledger::{Ledger, next_in_turn};
+use crate::ledger::{Ledger, next_in_name_order};
 use crate::records::{
     AccountChange, AccountId, AllotmentRecord, Plan, SettingsRecord, SharedRecord,
 };
 use crate::team_account::TeamAccount;
 
-/// Teams examined in one call.
-const EXAMINED_MAX: usize = 32;
+/// Maximum number of teams that one call examines for borrowed units.
+const EXAMINED_TEAMS_MAX: usize = 32;
 
-/// The leader's search for work.
+/// State of the leader's search for the next transaction.
 #[derive(Debug, Default)]
 pub struct Supervisor {
-    /// The last team that was examined for borrowed units.
+    /// The team that was examined last for borrowed units.
     cursor: Option<Rc<str>>,
 }
 
 impl Supervisor {
-    /// The next transaction that the leader should send, if any. `is_gone` is true for a controller without recent
-    /// heartbeats; that its lease in the store has ended is a condition of the transaction.
+    /// The next transaction that the leader should send, if any. `is_unreachable` returns true for a controller
+    /// without recent heartbeats. An allotment is reclaimed only if the controller's lease in the store has expired
+    /// too; the transaction is conditional on this.
     pub fn next_plan(
         &mut self,
         ledger: &mut Ledger,
         admissions: &Admissions,
-        is_gone: impl Fn(&str) -> bool,
+        is_unreachable: impl Fn(&str) -> bool,
     ) -> Option<Plan> {
         if !ledger.is_consistent() {
             return None;
         }
         let plan = match admissions.settings_in_force(ledger) {
             None => Some(apply_settings(ledger, admissions)),
-            Some(revision) => reclaim(ledger, admissions, revision, is_gone)
+            Some(revision) => reclaim(ledger, admissions, revision, is_unreachable)
                 .or_else(|| reserve_uncharged(ledger, admissions, revision))
                 .or_else(|| self.return_borrowed(ledger, admissions, revision)),
         };
@@ -46,7 +48,7 @@
         })
     }
 
-    /// Returns units that a team borrowed and that are in no allotment to the shared pool.
+    /// Returns to the shared pool those borrowed units of a team that are in no allotment.
     fn return_borrowed(
         &mut self,
         ledger: &Ledger,
@@ -54,8 +56,8 @@
         settings_revision: u64,
     ) -> Option<Plan> {
         let settings = admissions.settings();
-        for _ in 0..EXAMINED_MAX {
-            self.cursor = next_in_turn(&ledger.with_free, self.cursor.as_ref());
+        for _ in 0..EXAMINED_TEAMS_MAX {
+            self.cursor = next_in_name_order(&ledger.teams_with_free_units, self.cursor.as_ref());
             let team = self.cursor.as_ref()?;
             let mut account = TeamAccount::read(ledger, settings, team, ledger.generation()?);
             let borrowed = account.borrowed(settings, team);
@@ -72,38 +74,41 @@
     }
 }
 
-/// Settings come into force in two steps. The first ends all admissions and transfers under the former ones, as
-/// each is conditional on the settings' revision. When it is known to be stored, what teams hold is exact, and the
-/// second computes the shared pool.
+/// Plans the next of the two steps that put settings in force. The first step changes the settings' revision, which
+/// refuses all admissions and transfers under the previous settings, as each is conditional on that revision. Once
+/// the ledger includes the first step, the units that teams hold are exact, and the second step computes the shared
+/// pool from them and opens admission.
 fn apply_settings(ledger: &Ledger, admissions: &Admissions) -> Plan {
     let stored = ledger.settings();
     let generation = ledger.generation().unwrap_or(0);
-    let is_announced = stored.is_some_and(|(record, _)| record.digest == admissions.digest());
+    let is_first_step_stored =
+        stored.is_some_and(|(record, _)| record.digest == admissions.digest());
     let mut plan = Plan {
         conditions: Vec::new(),
         changes: Vec::new(),
         requires_leader: true,
     };
-    if is_announced {
+    if is_first_step_stored {
         let free = unreserved(ledger, admissions);
         let change = AccountChange::Shared(Some(SharedRecord { free }));
-        plan.put(ledger.shared.condition(), change);
+        plan.put(ledger.shared.expected_revision(), change);
     }
     let record = SettingsRecord {
         digest: admissions.digest().to_owned(),
-        generation: if is_announced {
+        generation: if is_first_step_stored {
             generation
         } else {
             generation + 1
         },
-        open: is_announced,
+        open: is_first_step_stored,
     };
     let change = AccountChange::Settings(Some(record));
-    plan.put(ledger.settings.condition(), change);
+    plan.put(ledger.settings.expected_revision(), change);
     plan
 }
 
-/// The total less all guarantees, and less what teams hold beyond theirs.
+/// Units of the shared pool: the total minus all guarantees, and minus the units that teams hold beyond their
+/// guarantees.
 fn unreserved(ledger: &Ledger, admissions: &Admissions) -> QuotaAmount {
     let settings = admissions.settings();
     let mut reserved = settings.reserved();
@@ -116,21 +121,24 @@
     settings.total() - reserved
 }
 
-/// Reclaims unused units of controllers that are gone. First their allotment gets a new revision, which refuses
-/// all creations of theirs that are still in flight; when that is known to be stored, the charges to the allotment
-/// are exact, and the rest is free.
+/// Plans the next step to reclaim unused units of unreachable controllers. The first step gives an allotment a new
+/// revision, which refuses all creations that its controller may still have in flight. Once the ledger includes the
+/// first step, the charges to the allotment are exact, and the second step returns the remaining units to the team
+/// and the shared pool.
 fn reclaim(
     ledger: &Ledger,
     admissions: &Admissions,
     settings_revision: u64,
-    is_gone: impl Fn(&str) -> bool,
+    is_unreachable: impl Fn(&str) -> bool,
 ) -> Option<Plan> {
-    let gone: BTreeSet<&Rc<str>> = ledger
-        .nodes()
-        .filter(|node| *node != admissions.node() && !ledger.is_present(node) && is_gone(node))
+    let unreachable: BTreeSet<&Rc<str>> = ledger
+        .nodes_with_allotments()
+        .filter(|node| {
+            *node != admissions.node() && !ledger.is_present(node) && is_unreachable(node)
+        })
         .collect();
-    for node in gone {
-        for team in &ledger.teams_of[node] {
+    for node in unreachable {
+        for team in &ledger.teams_by_node[node] {
             let plan = reclaim_allotment(ledger, admissions, settings_revision, team, node);
             if plan.is_some() {
                 return plan;
@@ -162,32 +170,32 @@
         account.return_units(settings, team, unused);
         account.write(ledger, team, &mut plan)?;
     } else {
-        // A controller that has come back meanwhile has a lease again.
+        // A controller that has restarted meanwhile has a lease again, and keeps its allotment.
         plan.require(AccountId::Owner(node.clone()), 0);
     }
     let record = AllotmentRecord {
         incarnation: AllotmentRecord::UNOWNED,
         size,
     };
-    plan.put_allotment(allotment.stored.condition(), team, node, record);
+    plan.put_allotment(allotment.stored.expected_revision(), team, node, record);
     Some(plan)
 }
 
-/// Reserves a part of a team's units for its jobs that are charged to no allotment, as earlier versions stored them.
+/// Reserves units of a team for its jobs that are charged to no allotment: earlier versions stored jobs without one.
 fn reserve_uncharged(
     ledger: &mut Ledger,
     admissions: &Admissions,
     settings_revision: u64,
 ) -> Option<Plan> {
     let settings = admissions.settings();
-    while let Some(name) = ledger.uncharged_changed.first().cloned() {
+    while let Some(name) = ledger.teams_with_changed_uncharged.first().cloned() {
         let team = ledger.teams.get(&name);
         let uncharged = team.map_or(QuotaAmount::ZERO, |team| team.uncharged);
         let uncharged = settings.counted(&name, uncharged);
         let record = team.and_then(|team| team.stored.record.as_ref());
         let reserved = record.map_or(QuotaAmount::ZERO, |record| record.uncharged);
         if uncharged == reserved {
-            ledger.uncharged_changed.remove(&name);
+            ledger.teams_with_changed_uncharged.remove(&name);
             continue;
         }
         let mut account = TeamAccount::read(ledger, settings, &name, ledger.generation()?);
--- a/crates/quota/src/team_account.rs
+++ b/crates/quota/src/team_account.rs
@@ -1,4 +1,4 @@
-//! A team's account in a transaction under the settings in force.
+//! Changes of a team's record and of the shared pool in a transaction under the settings in force.
 
 use std::rc::Rc;
 
@@ -7,27 +7,27 @@
 use crate::records::{AccountChange, Plan, SharedRecord, TeamRecord};
 use crate::settings::QuotaSettings;
 
-/// The new value of a team's record, together with the units that move between it and the shared pool.
+/// The new value of a team's record, and the units that are transferred between the team and the shared pool.
 pub(crate) struct TeamAccount {
     pub record: TeamRecord,
-    /// Revision of the record in the store.
+    /// Revision of the stored record; 0 if there is none.
     revision: u64,
-    /// Units that go to the shared pool; negative: units taken from it.
+    /// Units transferred to the shared pool; negative for units taken from it.
     pub to_shared: QuotaAmount,
-    /// Whether the record was not yet written under the settings in force.
+    /// Whether the stored record is missing or was written under previous settings.
     pub is_outdated: bool,
 }
 
 impl TeamAccount {
-    /// Reads a team's record. A team without a record holds its guarantee. A record written under former settings is
-    /// adapted: when the present ones came into force, the larger of what the team held and of its guarantee was
-    /// reserved for it.
+    /// Reads a team's record. A team without a record holds its guarantee. A record written under previous settings
+    /// is adapted to the settings in force: these reserve for the team the larger of its guarantee and of the units
+    /// that it held when they were put in force. Free units above the team's limit go to the shared pool.
     pub fn read(ledger: &Ledger, settings: &QuotaSettings, team: &str, generation: u64) -> Self {
         let quota = settings.team(team);
         let known = ledger.teams.get(team);
         let stored = known.and_then(|team| team.stored.record.clone());
         let mut account = TeamAccount {
-            revision: known.map_or(0, |team| team.stored.condition()),
+            revision: known.map_or(0, |team| team.stored.expected_revision()),
             is_outdated: stored
                 .as_ref()
                 .is_none_or(|record| record.generation != generation),
@@ -42,9 +42,9 @@
         if account.is_outdated {
             let record = &mut account.record;
             record.generation = generation;
-            let raised = record.held.max(quota.guaranteed) - record.held;
-            record.held += raised;
-            record.free += raised;
+            let guarantee_deficit = record.held.max(quota.guaranteed) - record.held;
+            record.held += guarantee_deficit;
+            record.free += guarantee_deficit;
             let excess = (record.held - quota.limit).non_negative().min(record.free);
             record.held -= excess;
             record.free -= excess;
@@ -53,13 +53,13 @@
         account
     }
 
-    /// Units beyond the team's guarantee, which it borrowed from the shared pool.
+    /// Units that the team borrowed from the shared pool: those beyond its guarantee.
     pub fn borrowed(&self, settings: &QuotaSettings, team: &str) -> QuotaAmount {
         (self.record.held - settings.team(team).guaranteed).non_negative()
     }
 
-    /// Returns units that were in an allotment: borrowed ones go to the shared pool, the others are free for the
-    /// team.
+    /// Returns units that were allotted or reserved: borrowed ones go to the shared pool, the others become free
+    /// units of the team.
     pub fn return_units(&mut self, settings: &QuotaSettings, team: &str, amount: QuotaAmount) {
         let borrowed = self.borrowed(settings, team).min(amount);
         self.record.held -= borrowed;
@@ -67,25 +67,26 @@
         self.record.free += amount - borrowed;
     }
 
-    /// Changes the units that are reserved for jobs charged to no allotment.
+    /// Sets the units reserved for jobs that are charged to no allotment. Additional units come from the team's free
+    /// units, then from the shared pool, which may become negative.
     pub fn set_uncharged(&mut self, settings: &QuotaSettings, team: &str, amount: QuotaAmount) {
-        let more = (amount - self.record.uncharged).non_negative();
-        let less = (self.record.uncharged - amount).non_negative();
-        let own = more.min(self.record.free);
-        self.record.free -= own;
-        self.record.held += more - own;
-        self.to_shared -= more - own;
+        let increase = (amount - self.record.uncharged).non_negative();
+        let decrease = (self.record.uncharged - amount).non_negative();
+        let from_free = increase.min(self.record.free);
+        self.record.free -= from_free;
+        self.record.held += increase - from_free;
+        self.to_shared -= increase - from_free;
         self.record.uncharged = amount;
-        self.return_units(settings, team, less);
+        self.return_units(settings, team, decrease);
     }
 
-    /// Adds the new values to a transaction; `None` if it needs the shared pool and that isn't known.
+    /// Adds the new values to a plan. Returns `None` if the shared pool changes but its record is not known.
     pub fn write(self, ledger: &Ledger, team: &Rc<str>, plan: &mut Plan) -> Option<()> {
         if !self.to_shared.is_zero() {
             let shared = ledger.shared.record.as_ref()?;
             let free = shared.free + self.to_shared;
             let change = AccountChange::Shared(Some(SharedRecord { free }));
-            plan.put(ledger.shared.condition(), change);
+            plan.put(ledger.shared.expected_revision(), change);
         }
         let change = AccountChange::Team(team.clone(), Some(self.record));
         plan.put(self.revision, change);
