--- a/crates/quota/tests/quotas/main.rs
+++ b/crates/quota/tests/quotas/main.rs
@@ -1,4 +1,4 @@
-//! Quotas on a store in memory: generated schedules, and single late messages.
+//! Quotas on an in-memory store: random schedules with faults, and scenarios with a single late transaction.
 
 mod late_creations;
 mod schedules;
--- a/crates/quota/tests/quotas/support/checker.rs
+++ b/crates/quota/tests/quotas/support/checker.rs
@@ -1,4 +1,4 @@
-//! Checks a store's history by the stored records alone.
+//! Checks of a store's history, computed from the stored records only.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -7,12 +7,14 @@
 
 use super::store::{Change, JobRecord, Store};
 
-/// A team's name and a controller's.
+/// Name of a team, name of a controller.
 type TeamAndNode = (Rc<str>, Rc<str>);
 
+/// Quota accounts and job records as of a revision of the store.
 #[derive(Default)]
 pub struct Totals {
     jobs: BTreeMap<Rc<str>, JobRecord>,
+    /// For each ended job, whether it is done; otherwise it was cancelled.
     done: BTreeMap<Rc<str>, bool>,
     teams: BTreeMap<Rc<str>, TeamRecord>,
     allotments: BTreeMap<TeamAndNode, QuotaAmount>,
@@ -21,7 +23,7 @@
 }
 
 impl Totals {
-    /// Everything as stored now.
+    /// The records as of the store's latest revision.
     pub fn of(store: &Store) -> Self {
         let mut totals = Totals::default();
         for committed in &store.history {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// A job counts until it is done, or cancelled and its record cleared away.
+    /// Jobs whose charges count: those not done, and cancelled ones until their records are deleted.
     fn unfinished(&self) -> impl Iterator<Item = &JobRecord> {
         self.jobs
             .iter()
@@ -69,9 +71,12 @@
             .map(|(_, job)| job)
     }
 
+    /// Sum of the charges of a team's unfinished jobs, at one controller or at all.
     pub fn used(&self, team: &str, node: Option<&str>) -> QuotaAmount {
         self.unfinished()
-            .filter(|job| &*job.team == team && node.is_none_or(|n| job.node.as_deref() == Some(n)))
+            .filter(|job| {
+                &*job.team == team && node.is_none_or(|node| job.node.as_deref() == Some(node))
+            })
             .fold(QuotaAmount::ZERO, |sum, job| sum + job.charge)
     }
 
@@ -87,8 +92,9 @@
             .fold(QuotaAmount::ZERO, |sum, (_, size)| sum + *size)
     }
 
-    /// Units are neither created nor lost: what teams hold and the shared pool add up to the total, and what a team
-    /// holds is in its allotments or in none.
+    /// Checks that no units are created or lost: the shared pool, all guarantees and the units that teams hold
+    /// beyond these add up to the total, and each team's units are free, reserved for uncharged jobs, or in its
+    /// allotments.
     pub fn check_units(&self, settings: &QuotaSettings) {
         let Some(shared) = self.shared else {
             return;
@@ -104,10 +110,10 @@
             let guaranteed = settings.team(name).guaranteed;
             sum += record.held.max(guaranteed) - guaranteed;
         }
-        assert_eq!(sum, settings.total(), "units of the service");
+        assert_eq!(sum, settings.total(), "sum of all units and the total");
     }
 
-    /// No allotment is charged with more than its size.
+    /// Checks that no allotment is charged with more than its size.
     pub fn check_allotments(&self, settings: &QuotaSettings) {
         for ((team, node), size) in &self.allotments {
             let used = settings.counted(team, self.used(team, Some(node)));
@@ -118,6 +124,7 @@
         }
     }
 
+    /// Checks that no usage exceeds a team's limit or the total.
     pub fn check_limits(&self, settings: &QuotaSettings) {
         let teams: std::collections::BTreeSet<&Rc<str>> =
             self.unfinished().map(|job| &job.team).collect();
@@ -127,11 +134,15 @@
             assert!(used.fits_within(&limit), "{team}: {used} used of {limit}");
         }
         let used = self.used_by_all_teams();
-        assert!(used.fits_within(&settings.total()), "{used} used in all");
+        assert!(
+            used.fits_within(&settings.total()),
+            "{used} used by all teams"
+        );
     }
 }
 
-/// No limit was crossed at any revision at which these settings were in force, from the first on.
+/// Checks allotments, limits and sums of units at each revision from the generation `from_generation` of the
+/// settings on.
 pub fn check_history(store: &Store, settings: &QuotaSettings, from_generation: u64) {
     let mut totals = Totals::default();
     let mut committed = store.history.iter().peekable();
@@ -148,13 +159,14 @@
     }
 }
 
-/// Once settings are in force, no job is admitted of a team that has more than they allow, nor up to more than that.
-/// Returns the number of revisions at which a team had more.
-pub fn check_lowered(store: &Store, settings: &QuotaSettings) -> u32 {
+/// Checks that while the settings are in force, no admitted job raises its team's usage above the team's limit.
+/// Returns the number of changes after which team red used more than its limit; the jobs that exceed it are older
+/// than the settings.
+pub fn check_lowered_limits(store: &Store, settings: &QuotaSettings) -> u32 {
     let digest = settings.digest();
     let mut totals = Totals::default();
     let mut in_force = false;
-    let mut over = 0;
+    let mut revisions_over_limit = 0;
     for committed in &store.history {
         totals.apply(&committed.change);
         if let Change::Account(AccountChange::Settings(Some(record))) = &committed.change {
@@ -162,7 +174,8 @@
         }
         let Change::Job(id, Some(job)) = &committed.change else {
             let limit = settings.team("red").limit;
-            over += u32::from(in_force && !totals.used("red", None).fits_within(&limit));
+            revisions_over_limit +=
+                u32::from(in_force && !totals.used("red", None).fits_within(&limit));
             continue;
         };
         if in_force {
@@ -175,5 +188,5 @@
             );
         }
     }
-    over
+    revisions_over_limit
 }
--- a/crates/quota/tests/quotas/support/controller.rs
+++ b/crates/quota/tests/quotas/support/controller.rs
@@ -1,4 +1,4 @@
-//! A controller's process: it replicates the store, admits jobs and transfers units.
+//! A simulated controller, which replicates the store, admits jobs and transfers units.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -11,11 +11,11 @@
 
 use super::store::{Change, Committed, JobRecord, Key, Store, Txn};
 
-/// What a transaction of a controller is about.
+/// Purpose of a controller's transaction, by which its response is handled.
 #[derive(Clone)]
 pub enum Purpose {
     Creation(Attempt),
-    /// Of a team's units, if it is out of an allotment of this controller.
+    /// With the team, if the transaction transfers units out of this controller's allotment.
     Transfer(Option<Rc<str>>),
 }
 
@@ -25,10 +25,11 @@
     pub ledger: Ledger,
     pub admissions: Admissions,
     pub supervisor: Supervisor,
-    /// How much of the store's history was followed.
-    followed: usize,
-    /// What this process knows of jobs: their charges until they are released, and which ever were.
+    /// Number of changes of the store's history that are replicated.
+    replicated_changes: usize,
+    /// Records of the jobs whose charges are not released.
     charges: BTreeMap<Rc<str>, JobRecord>,
+    /// Ids of all jobs that this controller has replicated.
     known: BTreeSet<Rc<str>>,
     done: BTreeSet<Rc<str>>,
     pub fencing_token: Option<u64>,
@@ -47,7 +48,7 @@
             ledger: Ledger::default(),
             admissions: Admissions::new(name, incarnation, controllers, settings),
             supervisor: Supervisor::default(),
-            followed: 0,
+            replicated_changes: 0,
             charges: BTreeMap::new(),
             known: BTreeSet::new(),
             done: BTreeSet::new(),
@@ -85,18 +86,18 @@
         }
     }
 
-    /// Follows so many more changes, or whole revisions at least.
-    pub fn follow(&mut self, store: &Store, changes: usize, now: f64) {
-        let mut until = (self.followed + changes).min(store.history.len());
-        while until < store.history.len()
-            && until > 0
-            && store.history[until].revision == store.history[until - 1].revision
+    /// Replicates `changes` further changes, and the remaining changes of the last revision among these.
+    pub fn replicate(&mut self, store: &Store, changes: usize, now: f64) {
+        let mut end = (self.replicated_changes + changes).min(store.history.len());
+        while end < store.history.len()
+            && end > 0
+            && store.history[end].revision == store.history[end - 1].revision
         {
-            until += 1;
+            end += 1;
         }
-        let news: Vec<Committed> = store.history[self.followed..until].to_vec();
-        self.followed = until;
-        for committed in &news {
+        let new_changes: Vec<Committed> = store.history[self.replicated_changes..end].to_vec();
+        self.replicated_changes = end;
+        for committed in &new_changes {
             self.apply_change(&committed.change, committed.revision, now);
             self.ledger.reached(committed.revision);
         }
@@ -104,20 +105,21 @@
         self.admissions.prune(&self.ledger, |id| known.contains(id));
     }
 
-    /// Reads everything anew: the jobs as they were when the first page was read, the accounts as they are now.
-    pub fn load(&mut self, store: &Store, jobs_as_of: usize) {
+    /// Reads all records again, page by page: jobs as of the first `jobs_as_of` changes, when the first page was
+    /// read, and accounts as of now.
+    pub fn reload(&mut self, store: &Store, jobs_as_of: usize) {
         self.ledger = Ledger::default();
         self.charges.clear();
         self.known.clear();
         self.done.clear();
-        let first = store.history.get(jobs_as_of.wrapping_sub(1));
-        let first_revision = first.map_or(0, |committed| committed.revision);
+        let first_page_change = store.history.get(jobs_as_of.wrapping_sub(1));
+        let first_revision = first_page_change.map_or(0, |committed| committed.revision);
         let mut as_of: BTreeMap<Key, (Change, u64)> = BTreeMap::new();
         for committed in &store.history[..jobs_as_of] {
             let value = (committed.change.clone(), committed.revision);
             as_of.insert(committed.change.key(), value);
         }
-        // In the order of names, ends come first.
+        // Ends of jobs are read before the jobs, in the order of their keys.
         let jobs = as_of
             .values()
             .filter(|(change, _)| matches!(change, Change::Job(_, Some(_)) | Change::End(..)));
@@ -132,21 +134,21 @@
         }
         self.ledger.reached(first_revision);
         self.ledger.read_until(store.revision);
-        self.followed = jobs_as_of;
+        self.replicated_changes = jobs_as_of;
         while store
             .history
-            .get(self.followed)
+            .get(self.replicated_changes)
             .is_some_and(|c| c.revision <= first_revision)
         {
-            self.followed += 1;
+            self.replicated_changes += 1;
         }
     }
 
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn knows_job(&self, id: &str) -> bool {
         self.known.contains(id)
     }
 
-    /// Decides on a job, and makes the transaction that creates it.
+    /// Decides on a job. Returns the transaction that creates it, if the job is admitted.
     pub fn submit(
         &mut self,
         id: &str,
@@ -178,36 +180,36 @@
         (decision, Some((txn, purpose)))
     }
 
-    /// Refills the allotment, if that can be done in one transaction.
+    /// The transaction that refills the allotment, if one is possible.
     pub fn refill(&self, team: &str, need: QuotaAmount, now: f64) -> Option<(Txn, Purpose)> {
         let team: Rc<str> = team.into();
         let plan = transfer::refill(&self.ledger, &self.admissions, &team, need, now)?;
         Some(self.transaction(&plan, None))
     }
 
-    fn transaction(&self, plan: &Plan, out_of: Option<Rc<str>>) -> (Txn, Purpose) {
+    fn transaction(&self, plan: &Plan, source_team: Option<Rc<str>>) -> (Txn, Purpose) {
         let txn = Txn::of(plan, self.fencing_token.unwrap_or(0));
-        (txn, Purpose::Transfer(out_of))
+        (txn, Purpose::Transfer(source_team))
     }
 
-    /// The next transaction that no submission waits for.
-    pub fn housekeeping(
+    /// The next transaction, if any, that no submission waits for.
+    pub fn next_background_transaction(
         &mut self,
         now: f64,
-        is_gone: impl Fn(&str) -> bool,
+        is_unreachable: impl Fn(&str) -> bool,
     ) -> Option<(Txn, Purpose)> {
         if self.fencing_token.is_some()
             && let Some(plan) =
                 self.supervisor
-                    .next_plan(&mut self.ledger, &self.admissions, is_gone)
+                    .next_plan(&mut self.ledger, &self.admissions, is_unreachable)
         {
             return Some(self.transaction(&plan, None));
         }
         let plan = transfer::grant(&self.ledger, &mut self.admissions, now)
             .or_else(|| transfer::release_unused(&self.ledger, &mut self.admissions, now))?;
-        let own = self.name.clone();
+        let own_node = self.name.clone();
         let team = plan.changes.iter().find_map(|change| match change {
-            quota::AccountChange::Allotment { team, node, .. } if *node == own => {
+            quota::AccountChange::Allotment { team, node, .. } if *node == own_node => {
                 Some(team.clone())
             }
             _ => None,
@@ -215,11 +217,12 @@
         Some(self.transaction(&plan, team))
     }
 
-    /// Handles the response to a transaction; `None`: it was lost.
-    pub fn on_answer(&mut self, purpose: &Purpose, applied: Option<bool>, now: f64) {
+    /// Handles the response to a transaction: whether it was applied, or `None` if the response was lost.
+    pub fn on_response(&mut self, purpose: &Purpose, applied: Option<bool>, now: f64) {
         match (purpose, applied) {
             (Purpose::Creation(attempt), _) => {
-                // A conflict may be with an earlier copy of the same creation.
+                // A conflict does not show that the job was not created: the conflict may be with an earlier copy of
+                // the same creation.
                 self.admissions
                     .finish(attempt, AttemptOutcome::MayBeApplied, now);
             }
--- a/crates/quota/tests/quotas/support/mod.rs
+++ b/crates/quota/tests/quotas/support/mod.rs
@@ -1,4 +1,4 @@
-//! Simulation of controllers, a store and users in memory; messages are delayed, lost, duplicated and applied late.
+//! Simulation of controllers, a store and users in memory. Messages are delayed, lost, duplicated and applied late.
 
 pub mod checker;
 pub mod controller;
@@ -10,7 +10,7 @@
 
 use quota::{QuotaSection, QuotaSettings};
 
-/// Settings from the section as an operator writes it, for teams red, blue and green.
+/// Parses and validates the section `quota` of a features file, for the teams red, blue and green.
 pub fn settings(text: &str) -> Rc<QuotaSettings> {
     let section: QuotaSection = toml::from_str(text).unwrap();
     let known = BTreeSet::from(["red", "blue", "green"]);
--- a/crates/quota/tests/quotas/support/store.rs
+++ b/crates/quota/tests/quotas/support/store.rs
@@ -1,4 +1,4 @@
-//! A store with atomic conditional transactions, which keeps every change that was ever made.
+//! A store with atomic conditional transactions, which keeps the history of all changes.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
     Leader,
 }
 
-/// A job's record. One without a node bears no charge.
+/// A job's record. A job without a node is charged to no allotment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobRecord {
     pub team: Rc<str>,
@@ -25,7 +25,7 @@
 pub enum Change {
     Account(AccountChange),
     Job(Rc<str>, Option<JobRecord>),
-    /// Whether it is done; else it was cancelled.
+    /// The end of a job: true if it is done, false if it was cancelled.
     End(Rc<str>, bool),
     Leader(usize),
 }
@@ -62,7 +62,8 @@
 }
 
 impl Txn {
-    /// A plan, on the condition that this revision of the leader's key leads if only the leader may do so.
+    /// Converts a plan to a transaction. A plan that requires the leader becomes conditional on `fencing_token`, the
+    /// revision of the leader's key.
     pub fn of(plan: &Plan, fencing_token: u64) -> Self {
         let mut conditions: Vec<(Key, u64)> = plan
             .conditions
--- a/crates/quota/tests/quotas/support/world.rs
+++ b/crates/quota/tests/quotas/support/world.rs
@@ -1,4 +1,4 @@
-//! Several controllers on one store, with faults of the messages between them.
+//! Several controllers on one store, with faults of the messages between controllers and store.
 
 use std::rc::Rc;
 
@@ -11,18 +11,19 @@
 use super::controller::{Controller, Purpose};
 use super::store::{Change, JobRecord, Key, Outcome, Store, Txn};
 
-/// Rounds of heartbeats after which a job that could be admitted should have been.
+/// Maximum number of heartbeat rounds until a job is admitted for which units are available.
 const ROUNDS_MAX: u32 = 100;
 
-/// A transaction on its way to the store, or its answer on the way back.
+/// A transaction in flight to the store, or its response in flight to the controller.
 struct Message {
     due: f64,
     controller: usize,
     incarnation: u64,
     purpose: Purpose,
     txn: Txn,
-    answer: Option<Outcome>,
-    /// The controller does not wait for the response any more.
+    /// The response in flight; None while the transaction has not reached the store.
+    response: Option<Outcome>,
+    /// The controller no longer waits for the response.
     is_abandoned: bool,
 }
 
@@ -33,14 +34,15 @@
     pub rng: StdRng,
     pub now: f64,
     messages: Vec<Message>,
-    /// Probability that an answer is lost, that a transaction is repeated late, that one is applied late.
+    /// Probability of each fault of a transaction: it is applied late, it is repeated late, its response is lost.
     pub fault_probability: f64,
     next_incarnation: u64,
     next_job: u64,
+    /// Number of transfers sent.
     pub transfers: u32,
     pub admitted: u32,
     pub refused: u32,
-    /// Whether a controller is stopped.
+    /// By controller, whether it is stopped.
     pub is_stopped: Vec<bool>,
 }
 
@@ -61,58 +63,58 @@
             refused: 0,
             is_stopped: vec![false; controllers],
         };
-        for at in 0..controllers {
+        for controller_index in 0..controllers {
             world.controllers.push(Controller::start(
-                &format!("n{at}"),
-                at as u64 + 1,
+                &format!("n{controller_index}"),
+                controller_index as u64 + 1,
                 controllers,
                 settings.clone(),
             ));
-            world.restart(at);
+            world.restart(controller_index);
         }
         world.elect(0);
         world.run_until_idle();
         world
     }
 
-    /// A controller's process ends and is back at once, as a new one that reads everything.
-    pub fn restart(&mut self, at: usize) {
+    /// Replaces a controller with a new incarnation, which reads all records.
+    pub fn restart(&mut self, controller_index: usize) {
         self.next_incarnation += 1;
-        let name = format!("n{at}");
+        let name = format!("n{controller_index}");
         let count = self.controllers.len();
         let settings = self.settings.clone();
         let mut controller = Controller::start(&name, self.next_incarnation, count, settings);
-        controller.load(&self.store, self.store.history.len());
+        controller.reload(&self.store, self.store.history.len());
         let owner = OwnerRecord {
             incarnation: self.next_incarnation,
         };
         let change = AccountChange::Owner(name.as_str().into(), Some(owner));
         self.write(vec![Change::Account(change)]);
         controller.fencing_token = None;
-        self.controllers[at] = controller;
-        self.is_stopped[at] = false;
+        self.controllers[controller_index] = controller;
+        self.is_stopped[controller_index] = false;
         for message in &mut self.messages {
-            message.is_abandoned |= message.controller == at;
+            message.is_abandoned |= message.controller == controller_index;
         }
     }
 
-    /// A controller ends; its lease in the store ends too.
-    pub fn end(&mut self, at: usize) {
-        self.is_stopped[at] = true;
-        self.controllers[at].fencing_token = None;
-        let name: Rc<str> = format!("n{at}").as_str().into();
+    /// Stops a controller and expires its lease in the store.
+    pub fn stop(&mut self, controller_index: usize) {
+        self.is_stopped[controller_index] = true;
+        self.controllers[controller_index].fencing_token = None;
+        let name: Rc<str> = format!("n{controller_index}").as_str().into();
         self.write(vec![Change::Account(AccountChange::Owner(name, None))]);
         for message in &mut self.messages {
-            message.is_abandoned |= message.controller == at;
+            message.is_abandoned |= message.controller == controller_index;
         }
     }
 
-    pub fn elect(&mut self, at: usize) {
+    pub fn elect(&mut self, controller_index: usize) {
         for controller in &mut self.controllers {
             controller.fencing_token = None;
         }
-        let revision = self.write(vec![Change::Leader(at)]);
-        self.controllers[at].fencing_token = Some(revision);
+        let revision = self.write(vec![Change::Leader(controller_index)]);
+        self.controllers[controller_index].fencing_token = Some(revision);
     }
 
     pub fn write(&mut self, changes: Vec<Change>) -> u64 {
@@ -124,7 +126,7 @@
         self.store.revision
     }
 
-    fn send(&mut self, at: usize, (txn, purpose): (Txn, Purpose)) {
+    fn send(&mut self, controller_index: usize, (txn, purpose): (Txn, Purpose)) {
         if matches!(purpose, Purpose::Transfer(_)) {
             self.transfers += 1;
         }
@@ -136,26 +138,26 @@
         };
         let mut message = Message {
             due: self.now + delay,
-            controller: at,
-            incarnation: self.controllers[at].incarnation,
+            controller: controller_index,
+            incarnation: self.controllers[controller_index].incarnation,
             purpose,
             txn,
-            answer: None,
+            response: None,
             is_abandoned: late,
         };
         if late {
-            // The controller gives it up, without knowing what becomes of it.
+            // The controller stops waiting, without knowing the outcome.
             let purpose = message.purpose.clone();
-            self.controllers[at].on_answer(&purpose, None, self.now);
+            self.controllers[controller_index].on_response(&purpose, None, self.now);
         } else if self.rng.random_bool(self.fault_probability) {
             let due = self.now + self.rng.random_range(0.0..40.0);
             self.messages.push(Message {
                 due,
-                controller: at,
+                controller: controller_index,
                 incarnation: message.incarnation,
                 purpose: message.purpose.clone(),
                 txn: message.txn.clone(),
-                answer: None,
+                response: None,
                 is_abandoned: true,
             });
         }
@@ -164,30 +166,30 @@
     }
 
     fn deliver(&mut self, mut message: Message) {
-        let at = message.controller;
-        let waits =
-            !message.is_abandoned && self.controllers[at].incarnation == message.incarnation;
-        if let Some(outcome) = message.answer {
-            if waits {
+        let controller_index = message.controller;
+        let awaits_response = !message.is_abandoned
+            && self.controllers[controller_index].incarnation == message.incarnation;
+        if let Some(outcome) = message.response {
+            if awaits_response {
                 let applied = Some(outcome == Outcome::Applied);
-                self.controllers[at].on_answer(&message.purpose, applied, self.now);
+                self.controllers[controller_index].on_response(&message.purpose, applied, self.now);
             }
             return;
         }
         let outcome = self.store.apply(&message.txn);
-        if !waits {
+        if !awaits_response {
             return;
         }
         if self.rng.random_bool(self.fault_probability) {
-            self.controllers[at].on_answer(&message.purpose, None, self.now);
+            self.controllers[controller_index].on_response(&message.purpose, None, self.now);
             return;
         }
-        message.answer = Some(outcome);
+        message.response = Some(outcome);
         message.due = self.now + self.rng.random_range(0.0..0.1);
         self.messages.push(message);
     }
 
-    /// Advances the time and delivers the messages that are due.
+    /// Advances the time and delivers messages when they are due.
     pub fn advance(&mut self, seconds: f64) {
         let until = self.now + seconds;
         loop {
@@ -205,40 +207,46 @@
         self.now = until;
     }
 
-    pub fn live(&self) -> Vec<usize> {
+    pub fn running_controllers(&self) -> Vec<usize> {
         (0..self.controllers.len())
-            .filter(|at| !self.is_stopped[*at])
+            .filter(|controller_index| !self.is_stopped[*controller_index])
             .collect()
     }
 
-    /// A new job of a team, at a controller. Refill and creation take the time of messages.
-    pub fn submit(&mut self, at: usize, team: &str, charge: QuotaAmount) -> Rc<str> {
+    /// Submits a new job of a team at a controller. A refill or the creation is sent as a message and applied later.
+    pub fn submit(&mut self, controller_index: usize, team: &str, charge: QuotaAmount) -> Rc<str> {
         self.next_job += 1;
         let id: Rc<str> = format!("j-{}", self.next_job).as_str().into();
-        self.submit_as(at, &id, team, charge);
+        self.submit_as(controller_index, &id, team, charge);
         id
     }
 
-    pub fn submit_as(&mut self, at: usize, id: &str, team: &str, charge: QuotaAmount) -> Decision {
+    pub fn submit_as(
+        &mut self,
+        controller_index: usize,
+        id: &str,
+        team: &str,
+        charge: QuotaAmount,
+    ) -> Decision {
         let now = self.now;
-        let (decision, creation) = self.controllers[at].submit(id, team, charge, now);
+        let (decision, creation) = self.controllers[controller_index].submit(id, team, charge, now);
         match &decision {
             Decision::Admitted(_) => self.admitted += 1,
             Decision::NeedsRefill => {
-                if let Some(taken) = self.controllers[at].refill(team, charge, now) {
-                    self.send(at, taken);
+                if let Some(refill) = self.controllers[controller_index].refill(team, charge, now) {
+                    self.send(controller_index, refill);
                 }
             }
             _ => self.refused += 1,
         }
         if let Some(creation) = creation {
-            self.send(at, creation);
+            self.send(controller_index, creation);
         }
         decision
     }
 
-    /// Jobs that are stored and not over.
-    pub fn open_jobs(&self) -> Vec<(Rc<str>, JobRecord)> {
+    /// Stored jobs that have not ended.
+    pub fn active_jobs(&self) -> Vec<(Rc<str>, JobRecord)> {
         let jobs = self
             .store
             .values
@@ -251,18 +259,18 @@
             .collect()
     }
 
-    /// A job is done, or is cancelled.
+    /// Stores the end of a job: true for done, false for cancelled.
     pub fn finish(&mut self, id: &Rc<str>, done: bool) {
         self.write(vec![Change::End(id.clone(), done)]);
     }
 
-    /// Records of jobs that are over are cleared away.
-    pub fn clear(&mut self, id: &Rc<str>) {
+    /// Deletes the record of an ended job.
+    pub fn delete_job_record(&mut self, id: &Rc<str>) {
         self.write(vec![Change::Job(id.clone(), None)]);
     }
 
-    /// Jobs that are over and whose records are still there.
-    fn uncleared(&self) -> Vec<Rc<str>> {
+    /// Ended jobs whose records are not deleted.
+    fn ended_jobs_with_records(&self) -> Vec<Rc<str>> {
         let ends = self.store.values.keys().filter_map(|key| match key {
             Key::End(id) => Some(id.clone()),
             _ => None,
@@ -271,30 +279,30 @@
             .collect()
     }
 
-    pub fn clear_some(&mut self) {
-        let over = self.uncleared();
-        if let Some(id) = over.choose(&mut self.rng).cloned() {
-            self.clear(&id);
+    pub fn delete_a_job_record(&mut self) {
+        let ended_jobs = self.ended_jobs_with_records();
+        if let Some(id) = ended_jobs.choose(&mut self.rng).cloned() {
+            self.delete_job_record(&id);
         }
     }
 
-    pub fn clear_all(&mut self) {
-        for id in self.uncleared() {
-            self.clear(&id);
+    pub fn delete_ended_job_records(&mut self) {
+        for id in self.ended_jobs_with_records() {
+            self.delete_job_record(&id);
         }
     }
 
-    pub fn follow(&mut self, at: usize, changes: usize) {
-        self.controllers[at].follow(&self.store, changes, self.now);
+    pub fn replicate(&mut self, controller_index: usize, changes: usize) {
+        self.controllers[controller_index].replicate(&self.store, changes, self.now);
     }
 
-    /// Heartbeats announce the shortages of controllers.
-    pub fn exchange_requests(&mut self) {
+    /// Announces the shortages of each running controller to all running ones, as heartbeats do.
+    pub fn announce_shortages(&mut self) {
         let now = self.now;
-        for from in self.live() {
+        for from in self.running_controllers() {
             let name = self.controllers[from].name.clone();
             let shortages = self.controllers[from].admissions.shortages(now);
-            for to in self.live() {
+            for to in self.running_controllers() {
                 for (team, amount) in &shortages {
                     let admissions = &mut self.controllers[to].admissions;
                     admissions.on_request(&name, team, *amount, now);
@@ -303,48 +311,52 @@
         }
     }
 
-    pub fn run_housekeeping(&mut self, at: usize) -> bool {
-        let stopped: Vec<String> = (0..self.is_stopped.len())
+    /// Sends a controller's next background transaction; returns whether there is one.
+    pub fn send_background_transaction(&mut self, controller_index: usize) -> bool {
+        let stopped_nodes: Vec<String> = (0..self.is_stopped.len())
             .filter(|other| self.is_stopped[*other])
             .map(|other| format!("n{other}"))
             .collect();
         let now = self.now;
-        let controller = &mut self.controllers[at];
-        let work = controller.housekeeping(now, |node| stopped.iter().any(|name| name == node));
-        match work {
-            Some(work) => {
-                self.send(at, work);
+        let controller = &mut self.controllers[controller_index];
+        let transaction = controller
+            .next_background_transaction(now, |node| stopped_nodes.iter().any(|name| name == node));
+        match transaction {
+            Some(transaction) => {
+                self.send(controller_index, transaction);
                 true
             }
             None => false,
         }
     }
 
-    /// Ends all faults; messages in flight arrive, and all controllers replicate the whole store.
+    /// Disables faults, delivers the messages in flight, and lets all controllers replicate the store and send their
+    /// background transactions until none is left.
     pub fn run_until_idle(&mut self) {
         self.fault_probability = 0.0;
         for _ in 0..400 {
             self.advance(41.0);
             let mut busy = false;
-            for at in self.live() {
-                self.follow(at, usize::MAX / 2);
-                busy |= self.run_housekeeping(at);
+            for controller_index in self.running_controllers() {
+                self.replicate(controller_index, usize::MAX / 2);
+                busy |= self.send_background_transaction(controller_index);
             }
             if !busy && self.messages.is_empty() {
                 return;
             }
         }
-        panic!("the controllers never come to rest");
+        panic!("the controllers still send background transactions after 400 rounds");
     }
 
     pub fn totals(&self) -> Totals {
         Totals::of(&self.store)
     }
 
-    /// Admits a job at a controller within a number of transfers; returns how many it took.
+    /// Submits a job at a controller until it is admitted, within a maximum number of transfers. Returns the number
+    /// of transfers sent.
     pub fn admit_eventually(
         &mut self,
-        at: usize,
+        controller_index: usize,
         team: &str,
         charge: QuotaAmount,
         transfers: u32,
@@ -355,42 +367,42 @@
         for _ in 0..ROUNDS_MAX {
             assert!(
                 self.transfers - before <= transfers,
-                "{team} at n{at}: {transfers} transfers"
+                "{team} at n{controller_index}: {transfers} transfers"
             );
-            self.submit_as(at, &id, team, charge);
+            self.submit_as(controller_index, &id, team, charge);
             self.advance(0.3);
-            self.exchange_requests();
-            for at in self.live() {
-                self.follow(at, usize::MAX / 2);
-                self.run_housekeeping(at);
+            self.announce_shortages();
+            for controller_index in self.running_controllers() {
+                self.replicate(controller_index, usize::MAX / 2);
+                self.send_background_transaction(controller_index);
             }
             self.advance(0.3);
-            for at in self.live() {
-                self.follow(at, usize::MAX / 2);
+            for controller_index in self.running_controllers() {
+                self.replicate(controller_index, usize::MAX / 2);
             }
-            if self.controllers[at].knows(&id) {
+            if self.controllers[controller_index].knows_job(&id) {
                 return self.transfers - before;
             }
             self.now += 1.0;
         }
         panic!(
-            "{team} at n{at}: never admitted, used {}\n{}",
+            "{team} at n{controller_index}: never admitted, used {}\n{}",
             self.totals().used(team, None),
             self.accounts()
         );
     }
 
-    /// What a controller may still admit, as it sees it.
-    pub fn available(&self, at: usize, team: &str) -> QuotaAmount {
-        let controller = &self.controllers[at];
+    /// Units from which a controller may still admit jobs, by its own replica.
+    pub fn available(&self, controller_index: usize, team: &str) -> QuotaAmount {
+        let controller = &self.controllers[controller_index];
         controller.admissions.available(&controller.ledger, team)
     }
 
-    /// The size of a controller's allotment as stored.
-    pub fn allotted(&self, at: usize, team: &str) -> QuotaAmount {
+    /// Size of a controller's stored allotment.
+    pub fn allotted(&self, controller_index: usize, team: &str) -> QuotaAmount {
         let key = Key::Account(quota::AccountId::Allotment {
             team: team.into(),
-            node: format!("n{at}").as_str().into(),
+            node: format!("n{controller_index}").as_str().into(),
         });
         match &self.store.values[&key].0 {
             Change::Account(AccountChange::Allotment {
@@ -401,7 +413,7 @@
         }
     }
 
-    /// All accounts, for the message of a failure.
+    /// All stored accounts as text, for failure messages.
     fn accounts(&self) -> String {
         let accounts = self.store.values.iter();
         accounts
--- a/src/admission_quota/report.rs
+++ b/src/admission_quota/report.rs
@@ -1,4 +1,5 @@
-//! Commands for operators: a report on quotas (limits, usage and allotments as stored), and taking quotas out of force.
+//! Commands for operators: a report on quotas (limits, usage and allotments as stored), and the removal of the stored
+//! quota settings.
 
 use std::cell::RefCell;
 use std::fmt::Write;
@@ -15,7 +16,7 @@
 use crate::store::replica::StateReplica;
 use crate::store::transaction::TxnOutcome;
 
-/// Why a command failed.
+/// Why a command of this module failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
     /// The features file enables no quotas.
@@ -27,12 +28,12 @@
     /// The event loop stopped before the state service answered.
     #[error("state service: no answer")]
     NoAnswer,
-    /// The event loop can't run.
+    /// The event loop could not be created or run.
     #[error(transparent)]
     Loop(#[from] calloop::Error),
 }
 
-/// Reads the state service; the report on the quotas stored there.
+/// Reads the quota accounts and the jobs from the state service. Returns the text of the report on them.
 pub fn report(config: Config) -> Result<String, ReportError> {
     let settings = config
         .features
@@ -43,21 +44,21 @@
     Ok(text(&settings, &ledger))
 }
 
-/// Takes quotas out of force by deleting the record of their settings: controllers at which quotas are not enabled are
-/// ready then. A leader at which they are enabled would put its settings in force again.
+/// Deletes the stored quota settings, so that controllers without quotas in their features file become ready. A leader
+/// whose features file enables quotas stores its settings again. Returns the text to print.
 pub fn end(config: Config) -> Result<String, ReportError> {
     with_store(config, |store| async move { delete_settings(&store).await })
 }
 
 async fn delete_settings(store: &StoreClient) -> Result<String, StoreError> {
     let settings = key_of(&AccountId::Settings);
-    let Some(found) = store.get(&settings).await? else {
+    let Some(stored) = store.get(&settings).await? else {
         return Ok("no quotas are in force".into());
     };
     let txn = Txn {
         conditions: vec![Condition {
             key: settings.clone(),
-            revision: found.revision,
+            revision: stored.revision,
         }],
         changes: vec![Change::Delete { key: settings }],
     };
@@ -68,19 +69,19 @@
     })
 }
 
-/// Runs an event loop for some work with a client of the state service.
+/// Runs `operation` with a client of the state service on an event loop of its own, and returns its result.
 fn with_store<T: 'static, F: Future<Output = Result<T, StoreError>> + 'static>(
     config: Config,
-    work: impl FnOnce(StoreClient) -> F,
+    operation: impl FnOnce(StoreClient) -> F,
 ) -> Result<T, ReportError> {
     let outcome: Rc<RefCell<Option<Result<T, StoreError>>>> = Rc::default();
     let result = outcome.clone();
     Runtime::run::<calloop::Error>(move |runtime| {
         let root = Scope::new(runtime);
         let runtime = runtime.clone();
-        let work = work(StoreClient::new(&runtime, config.services.state, &config));
+        let operation = operation(StoreClient::new(&runtime, config.services.state, &config));
         root.spawn(async move {
-            *result.borrow_mut() = Some(work.await);
+            *result.borrow_mut() = Some(operation.await);
             runtime.stop();
         });
         Ok(root)
@@ -92,6 +93,7 @@
     }
 }
 
+/// Reads all records of the state service, page by page, since usage is computed from the jobs.
 async fn read_ledger(store: &StoreClient) -> Result<Ledger, StoreError> {
     let mut replica = StateReplica::with_quota();
     let mut after = String::new();
@@ -108,10 +110,10 @@
     Ok(replica.quota.unwrap_or_default())
 }
 
-/// The text of a report on a ledger. The settings are those of this controller's features file.
+/// The text of the report on a ledger; `settings` are those of the features file.
 pub fn text(settings: &QuotaSettings, ledger: &Ledger) -> String {
     let mut out = String::new();
-    // Writing to a string can't fail.
+    // Writing to a string cannot fail.
     let _ = write_report(&mut out, settings, ledger);
     out
 }
@@ -130,11 +132,11 @@
         }
     }
     writeln!(out, "total: {}", settings.total())?;
-    let lendable = ledger.shared_free();
+    let shared_free = ledger.shared_free();
     writeln!(
         out,
         "free to be lent: {}",
-        lendable.map_or("-".into(), |free| free.to_string())
+        shared_free.map_or("-".into(), |free| free.to_string())
     )?;
     let mut names: Vec<Rc<str>> = ledger.team_names().cloned().collect();
     names.extend(settings.teams().map(|(name, _)| name.into()));
--- a/src/admission_quota/store_mapping.rs
+++ b/src/admission_quota/store_mapping.rs
@@ -1,4 +1,4 @@
-//! How the accounts of admission quotas lie in the state service: keys, values and transactions.
+//! Mapping of quota accounts to keys, values and transactions of the state service.
 
 use std::rc::Rc;
 
@@ -12,29 +12,31 @@
 use crate::protocol::users::Submission;
 use crate::store::keys;
 
-// Account families: the first segment of an account's key below the quotas.
+// Account kinds: the first segment of an account's key after the common prefix of quota keys.
 const SETTINGS: &str = "settings";
 const SHARED: &str = "shared";
 const TEAM: &str = "team";
 const ALLOTMENT: &str = "allotment";
 const OWNER: &str = "owner";
 
-/// Characters that are escaped: names of teams and controllers may hold anything, a segment of a key neither blanks
-/// nor slashes.
+/// Characters of names that are escaped: names of teams and controllers may contain any character, but a segment of a
+/// key may contain neither spaces nor slashes.
 const ESCAPED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.');
-/// Bytes that an escaped name may have: two names and the rest must fit into a key.
+/// Maximum length of an escaped name in bytes: the key of an allotment, with two names, must not exceed the length
+/// limit of keys.
 pub const NAME_BYTES_MAX: usize = 80;
 
-/// A name as a segment of a key.
+/// Escapes a name for use as a segment of a key.
 pub fn escaped(name: &str) -> String {
     utf8_percent_encode(name, ESCAPED).to_string()
 }
 
+/// The name in a segment of a key; None if it is not valid UTF-8.
 fn unescaped(segment: &str) -> Option<Rc<str>> {
     Some(percent_decode_str(segment).decode_utf8().ok()?.into())
 }
 
-/// The key of an account.
+/// The key of an account in the state service.
 pub fn key_of(account: &AccountId) -> String {
     let rest = match account {
         AccountId::Settings => SETTINGS.to_owned(),
@@ -48,25 +50,26 @@
     keys::quota(&rest)
 }
 
-/// Why a change of a key is not the change of an account.
+/// Why a changed key could not be decoded as a change of an account.
 #[derive(Debug, thiserror::Error)]
 enum DecodeError {
-    /// This version doesn't know the account.
-    #[error("unknown account")]
+    /// The key names no kind of account that this version knows, or lacks a valid name.
+    #[error("key names no known quota account")]
     UnknownAccount,
-    /// The value doesn't have the form of the account's record.
+    /// The value is not a valid record of the account.
     #[error(transparent)]
     Value(#[from] serde_json::Error),
 }
 
-/// The change of an account that a change of its key means; `account` is the part of the key below the quotas. None if
-/// this version doesn't know the account or can't decode its value; the latter is logged.
+/// Decodes a changed key as a change of an account; `account` is the key without the common prefix of quota keys, and
+/// `value` is None if the key was deleted. Returns None if this version does not know the account, and logs an error
+/// and returns None if it cannot decode the value.
 pub fn decode_change(account: &str, value: Option<&RawValue>) -> Option<AccountChange> {
     match parse_change(account, value) {
         Ok(change) => Some(change),
         Err(DecodeError::UnknownAccount) => None,
         Err(DecodeError::Value(error)) => {
-            tracing::error!(%error, "stored quota not understood");
+            tracing::error!(%error, "cannot decode stored quota record");
             None
         }
     }
@@ -74,33 +77,33 @@
 
 fn parse_change(account: &str, value: Option<&RawValue>) -> Result<AccountChange, DecodeError> {
     let mut segments = account.split('/');
-    let family = segments.next().unwrap_or_default();
-    let mut name = || {
+    let kind = segments.next().unwrap_or_default();
+    let mut next_name = || {
         let name = segments.next().and_then(unescaped);
         name.ok_or(DecodeError::UnknownAccount)
     };
-    Ok(match family {
+    Ok(match kind {
         SETTINGS => AccountChange::Settings(decode(value)?),
         SHARED => AccountChange::Shared(decode(value)?),
-        TEAM => AccountChange::Team(name()?, decode(value)?),
-        OWNER => AccountChange::Owner(name()?, decode(value)?),
+        TEAM => AccountChange::Team(next_name()?, decode(value)?),
+        OWNER => AccountChange::Owner(next_name()?, decode(value)?),
         ALLOTMENT => AccountChange::Allotment {
-            team: name()?,
-            node: name()?,
+            team: next_name()?,
+            node: next_name()?,
             record: decode(value)?,
         },
         _ => return Err(DecodeError::UnknownAccount),
     })
 }
 
-/// The record in a key's value; none if the key was deleted.
+/// Decodes the record in a key's value; None if the key was deleted.
 fn decode<T: DeserializeOwned>(value: Option<&RawValue>) -> Result<Option<T>, serde_json::Error> {
     value
         .map(|value| serde_json::from_str(value.get()))
         .transpose()
 }
 
-/// The change of the store that changes an account.
+/// The change of a key that changes an account.
 fn encode_change(change: &AccountChange) -> Result<Change, serde_json::Error> {
     let key = key_of(&change.account());
     match change {
@@ -126,7 +129,7 @@
     })
 }
 
-/// Conditions on accounts, as the state service takes them.
+/// Converts conditions on accounts to conditions on keys.
 pub fn conditions_of(accounts: &[RevisionCondition]) -> Vec<Condition> {
     let condition = |required: &RevisionCondition| Condition {
         key: key_of(&required.account),
@@ -135,18 +138,19 @@
     accounts.iter().map(condition).collect()
 }
 
-/// Why a plan can't be carried out as a transaction.
+/// Why a plan cannot be converted to a transaction.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
-    /// The plan is one of the leader's, and this controller may not act as the leader now.
-    #[error("not the leader")]
+    /// The plan requires the leader, and this controller has no valid fencing token.
+    #[error("quota plan requires the leader, and this controller does not lead")]
     NotLeader,
-    /// A record can't be serialized.
+    /// A record cannot be serialized.
     #[error("quota record cannot be serialized: {0}")]
     Encode(#[from] serde_json::Error),
 }
 
-/// A plan as a transaction. The leader's plans are conditional on its fencing token.
+/// Converts a plan to a transaction. A plan that requires the leader becomes conditional on `fencing_token`, the
+/// revision of the leader's key.
 pub fn transaction_of(plan: &Plan, fencing_token: Option<u64>) -> Result<Txn, PlanError> {
     let mut conditions = conditions_of(&plan.conditions);
     if plan.requires_leader {
@@ -162,7 +166,7 @@
     })
 }
 
-/// What a job is charged to its team's quota until it ends.
+/// The amount that a job is charged to its team's quota until it has finished.
 pub fn charge_of(spec: &Submission) -> QuotaAmount {
     QuotaAmount::of_job(spec.tasks, spec.cpus, spec.gpus, spec.memory_gb)
 }
--- a/src/admission_quota/store_mapping/tests.rs
+++ b/src/admission_quota/store_mapping/tests.rs
@@ -9,9 +9,10 @@
     QuotaAmount::of_job(1, cpus, 0.0, 0.0)
 }
 
-/// Whatever names hold, keys are the protocol's and lead back to the accounts.
+/// Names with spaces, slashes, percent signs or non-ASCII letters give keys that the state service accepts, and keys
+/// and values decode to the accounts that were encoded.
 #[test]
-fn accounts_are_read_as_they_were_written() {
+fn accounts_round_trip_through_keys_and_values() {
     let names = ["blue", "fleet ops", "a/b", "100%", "Köln", ".."];
     for name in names {
         let (team, node): (Rc<str>, Rc<str>) = (name.into(), "n/0".into());
@@ -45,25 +46,26 @@
             AccountChange::Team(team.clone(), None),
         ];
         for change in changes {
-            let (name, value) = match encode_change(&change).unwrap() {
+            let (key, value) = match encode_change(&change).unwrap() {
                 Change::Put { key, value, .. } => (key, Some(value)),
                 Change::Delete { key } => (key, None),
             };
             assert!(
-                name.len() <= 200 && name.bytes().all(|b| b.is_ascii_graphic()),
-                "{name}"
+                key.len() <= 200 && key.bytes().all(|byte| byte.is_ascii_graphic()),
+                "{key}"
             );
-            let rest = name.strip_prefix(&keys::quota("")).unwrap();
-            assert_eq!(decode_change(rest, value.as_deref()), Some(change));
+            let account = key.strip_prefix(&keys::quota("")).unwrap();
+            assert_eq!(decode_change(account, value.as_deref()), Some(change));
         }
     }
 }
 
+/// Accounts of newer versions, invalid names and malformed values are ignored instead of changing the replica.
 #[test]
-fn what_is_not_understood_changes_nothing() {
-    for rest in ["", "later", "team/%ff", "allotment/blue"] {
-        assert_eq!(decode_change(rest, None), None, "{rest}");
+fn unknown_accounts_and_malformed_values_are_ignored() {
+    for account in ["", "later", "team/%ff", "allotment/blue"] {
+        assert_eq!(decode_change(account, None), None, "{account}");
     }
-    let garbled = RawValue::from_string("{\"free\":7}".into()).unwrap();
-    assert_eq!(decode_change("shared", Some(&garbled)), None);
+    let malformed = RawValue::from_string("{\"free\":7}".into()).unwrap();
+    assert_eq!(decode_change("shared", Some(&malformed)), None);
 }
