--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -262,7 +262,7 @@
         team.limit.min(team.guaranteed + self.total - self.reserved)
     }
 
-    /// A hash that is equal only for equal quotas. Controllers compare theirs with that of the settings in force.
+    /// A hash that is equal exactly for equal quotas. Controllers compare theirs with that of the stored settings.
     pub fn digest(&self) -> String {
         let text = serde_json::to_vec(self).unwrap_or_default();
         let hash = Sha256::digest(&text);
