--- a/crates/quota/tests/quotas/support/world.rs
+++ b/crates/quota/tests/quotas/support/world.rs
@@ -345,7 +345,7 @@
                 return;
             }
         }
-        panic!("the controllers still send background transactions after 400 rounds");
+        panic!("transactions or messages are left after 400 rounds");
     }
 
     pub fn totals(&self) -> Totals {
