--- a/crates/quota/src/admission.rs
+++ b/crates/quota/src/admission.rs
@@ -87,16 +87,17 @@
         &self.digest
     }
 
-    /// The revision of the settings record. None without stored settings, if these differ from this controller's,
-    /// while a change of settings is being applied, and while the ledger is incomplete.
+    /// The revision of the settings record if this controller's settings are in force. None if no settings are stored,
+    /// if the stored ones differ from this controller's or are still being put in force, or if the ledger is not
+    /// consistent.
     pub fn settings_in_force(&self, ledger: &Ledger) -> Option<u64> {
         let (record, revision) = ledger.settings()?;
         let in_force = record.open && record.digest == self.digest && ledger.is_consistent();
         in_force.then_some(revision)
     }
 
-    /// Returns whether a team holds more than its limit, or has borrowed while the shared pool is negative. No job
-    /// of an overdrawn team is admitted.
+    /// Returns whether, in any dimension, a team holds more than its limit, or has borrowed units while the shared
+    /// pool is negative. No job of an overdrawn team is admitted.
     pub(crate) fn is_overdrawn(&self, ledger: &Ledger, team: &str, record: &TeamRecord) -> bool {
         let quota = self.settings.team(team);
         let shared = ledger.shared.record.as_ref();
@@ -119,8 +120,8 @@
             .filter(|allotment| allotment.incarnation == self.incarnation)
     }
 
-    /// Units of this controller's allotment minus its charges, those of creations in flight, and an outgoing
-    /// transfer. Negative if the allotment is smaller than their sum.
+    /// Units that may still be charged to this controller's allotment: its size minus the charges in the ledger, the
+    /// charges in flight, and an outgoing transfer. Negative if the size is smaller than their sum.
     pub fn available(&self, ledger: &Ledger, team: &str) -> QuotaAmount {
         let allotment = ledger.allotment(team, &self.node);
         let unused = allotment.map_or(QuotaAmount::ZERO, |allotment| {
@@ -151,9 +152,9 @@
         self.in_flight.finish(attempt, outcome, now);
     }
 
-    /// Removes charges of jobs that the ledger includes, and attempts and outgoing transfers that can no longer be
-    /// applied because a record on which they are conditional has a newer revision. `is_known` returns whether a job
-    /// is stored.
+    /// Removes charges in flight that the ledger includes or that can no longer be applied, and outgoing transfers
+    /// whose allotment has a newer revision: these were applied or never will be. Does nothing while the ledger is not
+    /// consistent. `is_known` returns whether a job or its end is stored.
     pub fn prune(&mut self, ledger: &Ledger, is_known: impl Fn(&str) -> bool) {
         if !ledger.is_consistent() {
             return;
@@ -198,8 +199,9 @@
         self.outgoing.insert(team.clone(), outgoing);
     }
 
-    /// Records that the outcome of a transfer out of this controller's allotment is known. If it was applied, the
-    /// allotment has a new revision, and creations that are conditional on the old one are refused.
+    /// Records that the outcome of a transfer out of this controller's allotment is known, so its units are no longer
+    /// withheld. This is safe before the ledger includes an applied transfer: the allotment has a new revision, and the
+    /// store refuses creations that are conditional on the old one.
     pub fn transfer_settled(&mut self, team: &str) {
         self.outgoing.remove(team);
     }
@@ -209,7 +211,7 @@
         self.shortages.recent_own_shortages(now)
     }
 
-    /// Records the shortage that another controller announced; one of this controller's own is ignored.
+    /// Records a shortage that another controller announced. Ignores announcements of this controller itself.
     pub fn on_request(&mut self, node: &Rc<str>, team: &Rc<str>, amount: QuotaAmount, now: Time) {
         self.shortages.discard_old_requests(now);
         if *node != self.node {
--- a/crates/quota/src/amount.rs
+++ b/crates/quota/src/amount.rs
@@ -5,8 +5,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The units of a limit that is not set. Larger than any sum of charges, and small enough that sums of it do not
-/// overflow.
+/// The units of a limit that is not set. Far larger than any sum of charges of real jobs, and small enough that sums
+/// of several such limits are far from overflowing.
 pub const UNBOUNDED: i64 = 1 << 50;
 
 /// A quantity that a quota limits.
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Number of units in one CPU, GPU, GB, task or job, by which the settings count.
+    /// Number of units in one CPU, GPU, GB, task or job, which are the measures in the settings.
     pub fn units_per_whole(self) -> f64 {
         match self {
             QuotaDimension::Cpus | QuotaDimension::Gpus | QuotaDimension::Memory => 1000.0,
@@ -61,7 +61,7 @@
 /// and must add up to the total exactly at every controller; rounding errors would create or lose units. Whole units
 /// also have a single stored form. Quotas limit tasks and jobs as well, which are not resources of a machine.
 ///
-/// Of the stored amounts, only the shared pool may be negative: when teams hold more than a lowered total.
+/// Of the stored amounts, only the shared pool may be negative, see [`crate::SharedRecord`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaAmount {
     #[serde(rename = "c", default, skip_serializing_if = "is_zero")]
@@ -101,7 +101,8 @@
         }
     }
 
-    /// The charge of a job with `tasks` tasks, each of the given size. Fractions of a unit are rounded up.
+    /// The charge of a job with `tasks` tasks, each of the given size. Fractions of a unit per task are rounded up, and
+    /// each dimension is capped at [`UNBOUNDED`].
     pub fn of_job(tasks: u32, cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         QuotaAmount::from_fn(|dimension| {
             let per_task = match dimension {
@@ -161,7 +162,7 @@
     }
 
     /// Returns whether `available` is at least this amount in every dimension in which this amount is positive.
-    /// Unlike [`Self::fits_within`], ignores dimensions that are not needed, of which `available` may be negative.
+    /// Unlike [`Self::fits_within`], ignores the other dimensions, in which `available` may be negative.
     pub fn is_covered_by(&self, available: &Self) -> bool {
         QuotaDimension::ALL.iter().all(|dimension| {
             self.get(*dimension) <= 0 || self.get(*dimension) <= available.get(*dimension)
@@ -205,7 +206,9 @@
     }
 }
 
-/// Writes CPUs, GPUs, GB, tasks and jobs as the settings do, without dimensions that are zero or unbounded.
+/// Writes CPUs, GPUs, GB, tasks and jobs as the settings do, without dimensions that are zero or unbounded; `-` if no
+/// dimension is left. Amounts in the settings are below a quarter of [`UNBOUNDED`], so one of half of it or more comes
+/// from a limit that is not set.
 impl fmt::Display for QuotaAmount {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut separator = "";
--- a/crates/quota/src/decision.rs
+++ b/crates/quota/src/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions whether submitted jobs are admitted.
+//! Decides whether submitted jobs are admitted.
 
 use std::rc::Rc;
 
@@ -23,14 +23,16 @@
     Admitted(Attempt),
     /// This controller's allotment lacks units that [`transfer::refill`] can transfer to it.
     NeedsRefill,
-    /// The units that this controller can obtain do not suffice at present, or the team is overdrawn.
+    /// The units in this controller's allotment, the team's free units and the shared pool do not suffice at present,
+    /// or the team is overdrawn.
     Refused {
-        /// Estimated time in seconds until enough units are released.
+        /// Time in seconds after which the submission should be retried: the estimated time until enough units are
+        /// released, within bounds, or a default without an estimate.
         retry_after_s: f64,
     },
     /// The job needs more units than its team can ever hold under the settings.
     ExceedsQuota,
-    /// The settings in force differ from this controller's or are being changed, or the ledger is incomplete.
+    /// No settings are in force, those in force differ from this controller's, or the ledger is not consistent.
     NotReady,
 }
 
--- a/crates/quota/src/in_flight.rs
+++ b/crates/quota/src/in_flight.rs
@@ -8,8 +8,8 @@
 use crate::ledger::Ledger;
 use crate::records::{AccountId, RevisionCondition};
 
-/// Time in seconds after which a creation in doubt that the ledger does not include is settled by a new revision of
-/// the allotment.
+/// Time in seconds after which a creation in doubt that the ledger still does not include may not have been applied. A
+/// new revision of the allotment then settles it.
 const IN_DOUBT_LIMIT_S: f64 = 2.0;
 
 /// An attempt to create a job that is charged to an allotment.
@@ -19,7 +19,9 @@
     pub job: Rc<str>,
     /// Name of the job's team.
     pub team: Rc<str>,
+    /// Revision of the settings record on which the creation is conditional.
     pub(crate) settings_revision: u64,
+    /// Revision of the allotment on which the creation is conditional.
     pub(crate) allotment_revision: u64,
     /// Name of the controller that makes the attempt.
     pub(crate) node: Rc<str>,
@@ -46,7 +48,7 @@
 pub enum AttemptOutcome {
     /// The creation was not applied and never will be.
     NotApplied,
-    /// The creation was applied, or its outcome is unknown.
+    /// The creation was applied, or its outcome is unknown: it may have been applied, or may still be.
     MayBeApplied,
 }
 
@@ -123,7 +125,8 @@
     }
 
     /// Removes the charges of jobs that the ledger includes, and of attempts that can no longer be applied because a
-    /// record on which they are conditional has a newer revision. `is_known` returns whether a job is stored.
+    /// record on which they are conditional has a newer revision. The charge of a job with unanswered attempts remains.
+    /// `is_known` returns whether a job or its end is stored.
     pub fn prune(&mut self, ledger: &Ledger, node: &str, is_known: impl Fn(&str) -> bool) {
         let settings_revision = ledger.settings.revision;
         let settled = |(job, charge): (&Rc<str>, &Charge)| {
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -39,7 +39,7 @@
         true
     }
 
-    /// The revision for a condition that the record is unchanged: 0 if there is no record.
+    /// The revision by which a condition requires that the record is unchanged; 0 if there is no record.
     pub fn expected_revision(&self) -> u64 {
         if self.record.is_some() {
             self.revision
@@ -81,7 +81,7 @@
 pub struct TeamUsage {
     /// All units of the team, guaranteed and borrowed.
     pub held: QuotaAmount,
-    /// Units of the team in no allotment.
+    /// Units of the team that are neither in an allotment nor reserved for uncharged jobs.
     pub free: QuotaAmount,
     /// Sum of the charges of all unfinished jobs, including those charged to no allotment.
     pub used: QuotaAmount,
@@ -111,11 +111,11 @@
     pub(crate) shared: Versioned<SharedRecord>,
     pub(crate) teams: HashMap<Rc<str>, Team>,
     owners: HashMap<Rc<str>, Versioned<OwnerRecord>>,
-    /// Teams of which a controller has had an allotment, by controller.
+    /// Teams of which a controller has or had an allotment, by controller.
     pub(crate) teams_by_node: HashMap<Rc<str>, BTreeSet<Rc<str>>>,
-    /// Teams whose `uncharged` units in the record may differ from the sum of their uncharged jobs.
+    /// Teams whose record may reserve more or fewer units than their uncharged jobs need.
     pub(crate) teams_with_changed_uncharged: BTreeSet<Rc<str>>,
-    /// Teams with units that are in no allotment.
+    /// Teams whose record has free units.
     pub(crate) teams_with_free_units: BTreeSet<Rc<str>>,
 }
 
@@ -167,7 +167,7 @@
         *self.usage_mut(team, node) += charge;
     }
 
-    /// Removes the charge of a job that has finished, and records it in the team's release rate.
+    /// Removes the charge of a job that has finished and runs on no machine, and records it in the team's release rate.
     pub fn release(
         &mut self,
         team: &Rc<str>,
@@ -206,13 +206,14 @@
         self.revision >= self.consistent_from
     }
 
-    /// The stored settings record and its revision; None if no quotas are in force.
+    /// The stored settings record and its revision; None if no settings are stored. The settings are in force once the
+    /// record is open.
     pub fn settings(&self) -> Option<(&SettingsRecord, u64)> {
         let record = self.settings.record.as_ref()?;
         Some((record, self.settings.revision))
     }
 
-    /// Generation of the stored settings; None if no quotas are in force.
+    /// Generation of the stored settings; None if no settings are stored.
     pub(crate) fn generation(&self) -> Option<u64> {
         Some(self.settings.record.as_ref()?.generation)
     }
@@ -222,7 +223,7 @@
         Some(self.shared.record.as_ref()?.free)
     }
 
-    /// Whether a controller's lease in the store is live: its expiry deletes the controller's owner record.
+    /// Whether a controller has an owner record, which the store deletes when the controller's lease expires.
     pub fn is_present(&self, node: &str) -> bool {
         self.owners
             .get(node)
@@ -244,13 +245,14 @@
         self.allotment(team, node)?.stored.record.as_ref()
     }
 
-    /// The revision for a condition that a controller's allotment is unchanged: 0 if there is no record.
+    /// The revision by which a condition requires that a controller's allotment is unchanged; 0 if there is no record.
     pub(crate) fn allotment_revision(&self, team: &str, node: &str) -> u64 {
         self.allotment(team, node)
             .map_or(0, |allotment| allotment.stored.expected_revision())
     }
 
-    /// Estimated time in seconds until `need` of a team's charges is released; None if a needed dimension has no releases.
+    /// Estimated time in seconds until `need` of a team's charges is released; None if a needed dimension has no
+    /// releases.
     pub(crate) fn release_wait_s(&self, team: &str, need: QuotaAmount, now: Time) -> Option<f64> {
         self.teams.get(team)?.releases.wait_s(need, now)
     }
@@ -282,7 +284,8 @@
 }
 
 /// The name after `last` in the order of names, or the first name if `last` is `None`. Returns `None` after the last
-/// name, so a caller that passes the result back in pauses once per pass over the names.
+/// name. A caller that keeps each result as the next `last` thus gets `None` once at the end of each pass over the
+/// names, and then starts again with the first name.
 pub(crate) fn next_in_name_order(
     names: &BTreeSet<Rc<str>>,
     last: Option<&Rc<str>>,
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A team's quota consists of a *guarantee*, which other teams cannot use, and a *limit*. Units that are guaranteed
 //! to no team form the *shared pool*, from which a team borrows up to its limit. A job is *charged* to its team from
-//! its admission until it has finished.
+//! its admission until it has finished, which means that it has ended and runs on no machine.
 //!
 //! The units of each team are divided into *allotments*, one per controller. Allotments are small records in a
 //! key-value store with atomic conditional transactions (an escrow scheme). A controller admits jobs from its own
@@ -10,6 +10,10 @@
 //! allotment to which it is charged. A change of an allotment therefore invalidates all creations in flight that are
 //! conditional on its previous revision.
 //!
+//! An *incarnation* is one run of a controller's process, identified by a number other than 0. An allotment belongs to
+//! one incarnation of its controller; after a restart, the new incarnation takes the allotment over before it admits
+//! jobs from it.
+//!
 //! This package does no input or output, and does not depend on the store's protocol or key names:
 //!
 //! - [`Ledger`] is the replicated content of the store: accounts, and the charges of unfinished jobs;
--- a/crates/quota/src/records.rs
+++ b/crates/quota/src/records.rs
@@ -6,7 +6,8 @@
 
 use crate::amount::QuotaAmount;
 
-/// The quota settings in force, which must match those with which a controller is configured.
+/// The quota settings in force or being put in force. A controller admits jobs only if they are those with which it is
+/// configured.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsRecord {
     /// Digest of the settings, from [`crate::QuotaSettings::digest`].
@@ -21,8 +22,9 @@
     pub open: bool,
 }
 
-/// The shared pool: units that are neither guaranteed to a team nor borrowed by one. Negative if teams hold more
-/// than the total, which happens after the total was lowered.
+/// The shared pool: units that are neither guaranteed to a team nor borrowed by one. Negative if the guarantees and the
+/// borrowed units exceed the total, for example after the total was lowered or when units are reserved for uncharged
+/// jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedRecord {
     /// Units that any team may borrow.
@@ -39,7 +41,7 @@
     /// All units of the team, guaranteed and borrowed.
     #[serde(rename = "held")]
     pub held: QuotaAmount,
-    /// Units in no controller's allotment.
+    /// Units that are neither in an allotment nor reserved for uncharged jobs.
     #[serde(rename = "free")]
     pub free: QuotaAmount,
     /// Units reserved for unfinished jobs that are charged to no allotment: earlier versions stored jobs without
@@ -51,10 +53,11 @@
 /// Units of a team from which one controller admits jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllotmentRecord {
-    /// Incarnation of the controller that admits jobs from it; [`Self::UNOWNED`] from the first step of a reclaim on.
+    /// Incarnation of the controller that admits jobs from the allotment; [`Self::UNOWNED`] from the first step of a
+    /// reclaim until a later incarnation takes the allotment over.
     #[serde(rename = "incarnation")]
     pub incarnation: u64,
-    /// Upper limit of the sum of the charges to it.
+    /// Upper limit of the sum of the charges to the allotment.
     #[serde(rename = "size")]
     pub size: QuotaAmount,
 }
@@ -175,13 +178,13 @@
             .push(RevisionCondition { account, revision });
     }
 
-    /// Writes a record that must be unchanged since a revision.
+    /// Adds a change, and the condition that the record is unchanged since `revision`.
     pub(crate) fn put(&mut self, revision: u64, change: AccountChange) {
         self.require(change.account(), revision);
         self.changes.push(change);
     }
 
-    /// Writes an allotment that must be unchanged since a revision.
+    /// Adds a new value of an allotment, and the condition that the allotment is unchanged since `revision`.
     pub(crate) fn put_allotment(
         &mut self,
         revision: u64,
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaSection {
-    /// Upper limit of the charges of all teams' unfinished jobs together.
+    /// Upper limit of the charges of all teams' unfinished jobs together; unlimited in dimensions that are not set.
     pub total: DimensionFigures,
     /// Teams with a guarantee or a limit of their own.
     #[serde(default)]
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Adds a team's quota and its guarantee to the sum of guarantees.
+    /// Adds a team's quota, increases `reserved` by its guarantee, and adds an error for each problem.
     fn add_team(
         &mut self,
         team: &TeamSection,
@@ -262,7 +262,8 @@
         team.limit.min(team.guaranteed + self.total - self.reserved)
     }
 
-    /// A hash that is equal exactly for equal quotas. Controllers compare theirs with that of the stored settings.
+    /// A hash of these quotas: equal at all controllers with the same quotas, and at no others. Controllers compare
+    /// theirs with that of the stored settings.
     pub fn digest(&self) -> String {
         let text = serde_json::to_vec(self).unwrap_or_default();
         let hash = Sha256::digest(&text);
--- a/crates/quota/src/shortages.rs
+++ b/crates/quota/src/shortages.rs
@@ -1,4 +1,4 @@
-//! Recent shortages of this controller and of others, which decide between which allotments units are transferred.
+//! Recent shortages of this controller and of others. They determine which allotments units are taken from and added to.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -84,6 +84,7 @@
             .retain(|_, request| now - request.received_at < SHORTAGE_LIFETIME_S);
     }
 
+    /// Takes a shortage of a team into account for [`SHORTAGE_LIFETIME_S`], unless [`REQUESTS_MAX`] teams have one.
     fn mark_team_short(&mut self, team: &Rc<str>, now: Time) {
         self.short_until.retain(|_, until| now < *until);
         if self.short_until.len() < REQUESTS_MAX {
--- a/crates/quota/src/supervise.rs
+++ b/crates/quota/src/supervise.rs
@@ -74,10 +74,10 @@
     }
 }
 
-/// Plans the next of the two steps that put settings in force. The first step changes the settings' revision, which
-/// refuses all admissions and transfers under the previous settings, as each is conditional on that revision. Once
-/// the ledger includes the first step, the units that teams hold are exact, and the second step computes the shared
-/// pool from them and opens admission.
+/// Plans the next of the two steps that put settings in force. The first step changes the settings' revision, so that
+/// the store refuses all admissions and transfers under the previous settings: each is conditional on that revision.
+/// Once the ledger includes the first step, the units that teams hold are exact, and the second step computes the
+/// shared pool from them and opens admission.
 fn apply_settings(ledger: &Ledger, admissions: &Admissions) -> Plan {
     let stored = ledger.settings();
     let generation = ledger.generation().unwrap_or(0);
@@ -122,9 +122,9 @@
 }
 
 /// Plans the next step to reclaim unused units of unreachable controllers. The first step gives an allotment a new
-/// revision, which refuses all creations that its controller may still have in flight. Once the ledger includes the
-/// first step, the charges to the allotment are exact, and the second step returns the remaining units to the team
-/// and the shared pool.
+/// revision, so that the store refuses all creations that its controller may still have in flight. Once the ledger
+/// includes the first step, the charges to the allotment are exact, and the second step returns the remaining units to
+/// the team and the shared pool.
 fn reclaim(
     ledger: &Ledger,
     admissions: &Admissions,
@@ -170,7 +170,7 @@
         account.return_units(settings, team, unused);
         account.write(ledger, team, &mut plan)?;
     } else {
-        // A controller that has restarted meanwhile has a lease again, and keeps its allotment.
+        // A controller that has come back meanwhile has an owner record again, and keeps its allotment.
         plan.require(AccountId::Owner(node.clone()), 0);
     }
     let record = AllotmentRecord {
@@ -181,7 +181,8 @@
     Some(plan)
 }
 
-/// Reserves units of a team for its jobs that are charged to no allotment: earlier versions stored jobs without one.
+/// Reserves units of a team for its jobs that are charged to no allotment. Earlier versions of the controller stored
+/// such jobs.
 fn reserve_uncharged(
     ledger: &mut Ledger,
     admissions: &Admissions,
--- a/crates/quota/src/team_account.rs
+++ b/crates/quota/src/team_account.rs
@@ -20,8 +20,8 @@
 
 impl TeamAccount {
     /// Reads a team's record. A team without a record holds its guarantee. A record written under previous settings
-    /// is adapted to the settings in force: these reserve for the team the larger of its guarantee and of the units
-    /// that it held when they were put in force. Free units above the team's limit go to the shared pool.
+    /// is adapted to the settings in force: when these were put in force, the larger of the team's guarantee and the
+    /// units that it held was reserved for it. Free units above the team's limit go to the shared pool.
     pub fn read(ledger: &Ledger, settings: &QuotaSettings, team: &str, generation: u64) -> Self {
         let quota = settings.team(team);
         let known = ledger.teams.get(team);
@@ -58,8 +58,8 @@
         (self.record.held - settings.team(team).guaranteed).non_negative()
     }
 
-    /// Returns units that were allotted or reserved: borrowed ones go to the shared pool, the others become free
-    /// units of the team.
+    /// Gives back units that were allotted or reserved for uncharged jobs: borrowed ones go to the shared pool, the
+    /// others become free units of the team.
     pub fn return_units(&mut self, settings: &QuotaSettings, team: &str, amount: QuotaAmount) {
         let borrowed = self.borrowed(settings, team).min(amount);
         self.record.held -= borrowed;
--- a/crates/quota/src/transfer.rs
+++ b/crates/quota/src/transfer.rs
@@ -14,8 +14,8 @@
 /// Time in seconds without a submission of a team after which its allotment's unused units are released.
 const IDLE_RELEASE_AFTER_S: f64 = 60.0;
 
-/// Time in seconds without an admission after which a controller with a shortage may hand over its units, as it has
-/// too few to use them itself.
+/// Time in seconds without an admission after which a controller with a shortage may hand over its units: they are too
+/// few for the jobs that are submitted to it.
 const STALLED_AFTER_S: f64 = 3.0;
 
 /// Maximum number of allotments that one call examines for unused units.
@@ -25,11 +25,12 @@
 /// number of controllers.
 const SHARED_SURPLUS_DIVISOR: i64 = 4;
 
-/// Transfers the units that this controller's allotment lacks to admit `need` of a team, from the team's free units
-/// and then from the shared pool. Returns `None` if both do not suffice and the allotment needs no new revision.
+/// Plans a transfer of the units that this controller's allotment lacks to admit `need` of a team, from the team's free
+/// units and then from the shared pool. Returns `None` if the settings are not in force, if the team is overdrawn, if
+/// these units do not suffice and the allotment needs no new revision, or if nothing has to change.
 ///
 /// The plan also takes over the allotment of a previous incarnation of this controller, and settles creations in
-/// doubt: the allotment's new revision refuses those that were not applied.
+/// doubt: with the allotment's new revision, the store refuses those that were not applied.
 pub fn refill(
     ledger: &Ledger,
     admissions: &Admissions,
@@ -164,7 +165,9 @@
 }
 
 /// Plans a release of unused units of an allotment to the team's account and the shared pool: all of them if the
-/// allotment is idle or the team is overdrawn, only the borrowed ones if another team has a shortage.
+/// allotment is idle or the team is overdrawn, only the borrowed ones if another team has a shortage. If a previous
+/// incarnation or a creation in doubt may still use the allotment, the plan only gives it a new revision; the units are
+/// released by a later plan.
 pub fn release_unused(ledger: &Ledger, admissions: &mut Admissions, now: Time) -> Option<Plan> {
     let settings_revision = admissions.settings_in_force(ledger)?;
     let node = admissions.node().clone();
@@ -197,17 +200,18 @@
     let is_idle = admissions
         .last_decision_at(team)
         .is_none_or(|at| now - at > IDLE_RELEASE_AFTER_S);
-    let is_borrowed_needed =
+    let should_return_borrowed =
         shortages.is_other_team_short(team, now) && !shortages.has_recent_own_shortage(team, now);
-    let is_needed = is_borrowed_needed || shortages.is_team_short(team, now);
+    let are_units_needed = should_return_borrowed || shortages.is_team_short(team, now);
     let is_of_previous_incarnation =
         own.incarnation != admissions.incarnation() && !own.size.is_zero();
     let revision = ledger.allotment_revision(team, &node);
     let mut plan = Plan::under_settings(settings_revision);
-    if (is_idle || is_needed)
+    if (is_idle || are_units_needed)
         && (is_of_previous_incarnation || admissions.in_flight.has_creations_in_doubt(team, now))
     {
-        // The new revision refuses creations that a previous incarnation, or this one, may have in flight.
+        // With the new revision, the store refuses creations that a previous incarnation, or this one, may have in
+        // flight.
         own.incarnation = admissions.incarnation();
         plan.put_allotment(revision, team, &node, own);
         return Some(plan);
@@ -218,7 +222,7 @@
     let unused = admissions.available(ledger, team).non_negative();
     let amount = if is_idle || admissions.is_overdrawn(ledger, team, &account.record) {
         unused
-    } else if is_borrowed_needed {
+    } else if should_return_borrowed {
         unused.min(account.borrowed(settings, team))
     } else {
         QuotaAmount::ZERO
--- a/crates/quota/tests/quotas/late_creations.rs
+++ b/crates/quota/tests/quotas/late_creations.rs
@@ -114,8 +114,9 @@
     );
 }
 
-/// A creation was admitted under settings that the leader replaces. The second step computes the shared
-/// pool from the units that teams hold, so nothing may be created between the steps.
+/// A creation admitted under previous settings reaches the store after the leader has replaced them. The leader
+/// computes the new shared pool from the units that teams hold, so no such creation may be applied after the first of
+/// its two steps.
 #[test]
 fn late_creation_under_replaced_settings_is_refused() {
     let mut world = world_with_admissions();
@@ -123,7 +124,7 @@
     world.settings = settings(LOWER_QUOTAS);
     world.restart(0);
     world.elect(0);
-    // The leader replaces the settings; its first step already refuses the late creation.
+    // The leader replaces the settings in two steps; the late creation conflicts with the first one already.
     for _ in 0..3 {
         world.replicate(0, 1000);
         world.send_background_transaction(0);
--- a/crates/quota/tests/quotas/schedules.rs
+++ b/crates/quota/tests/quotas/schedules.rs
@@ -11,7 +11,7 @@
 const TEAMS: [&str; 3] = ["red", "blue", "green"];
 const STEPS: usize = 400;
 const SEEDS: u64 = 40;
-/// Maximum number of transfers until a job is admitted for which any account has units.
+/// Maximum number of transfers within which a job must be admitted if any account has units for it.
 const TRANSFERS_MAX: u32 = 20;
 
 const QUOTAS: &str = r#"
@@ -53,7 +53,7 @@
                 world.finish(&id, done);
             }
         }
-        82..87 => world.delete_a_job_record(),
+        82..87 => world.delete_random_job_record(),
         87..92 => world.announce_shortages(),
         92..94 => world.restart(controller_index),
         94..95 => {
--- a/crates/quota/tests/quotas/support/checker.rs
+++ b/crates/quota/tests/quotas/support/checker.rs
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Jobs whose charges count: those not done, and cancelled ones until their records are deleted.
+    /// Jobs whose charges count: all stored jobs that are not done. A cancelled job is charged until its record is
+    /// deleted.
     fn unfinished(&self) -> impl Iterator<Item = &JobRecord> {
         self.jobs
             .iter()
@@ -160,13 +161,13 @@
 }
 
 /// Checks that while the settings are in force, no admitted job raises its team's usage above the team's limit.
-/// Returns the number of changes after which team red used more than its limit; the jobs that exceed it are older
-/// than the settings.
+/// Returns the number of changes, not counting creations of jobs, after which team red used more than its limit; the
+/// jobs that exceed it are older than the settings.
 pub fn check_lowered_limits(store: &Store, settings: &QuotaSettings) -> u32 {
     let digest = settings.digest();
     let mut totals = Totals::default();
     let mut in_force = false;
-    let mut revisions_over_limit = 0;
+    let mut changes_over_limit = 0;
     for committed in &store.history {
         totals.apply(&committed.change);
         if let Change::Account(AccountChange::Settings(Some(record))) = &committed.change {
@@ -174,7 +175,7 @@
         }
         let Change::Job(id, Some(job)) = &committed.change else {
             let limit = settings.team("red").limit;
-            revisions_over_limit +=
+            changes_over_limit +=
                 u32::from(in_force && !totals.used("red", None).fits_within(&limit));
             continue;
         };
@@ -188,5 +189,5 @@
             );
         }
     }
-    revisions_over_limit
+    changes_over_limit
 }
--- a/crates/quota/tests/quotas/support/controller.rs
+++ b/crates/quota/tests/quotas/support/controller.rs
@@ -105,8 +105,8 @@
         self.admissions.prune(&self.ledger, |id| known.contains(id));
     }
 
-    /// Reads all records again, page by page: jobs as of the first `jobs_as_of` changes, when the first page was
-    /// read, and accounts as of now.
+    /// Reads all records again, page by page, while the store changes. Only the first `jobs_as_of` changes are stored
+    /// when the jobs are read, and all changes when the accounts are read.
     pub fn reload(&mut self, store: &Store, jobs_as_of: usize) {
         self.ledger = Ledger::default();
         self.charges.clear();
--- a/crates/quota/tests/quotas/support/world.rs
+++ b/crates/quota/tests/quotas/support/world.rs
@@ -11,7 +11,7 @@
 use super::controller::{Controller, Purpose};
 use super::store::{Change, JobRecord, Key, Outcome, Store, Txn};
 
-/// Maximum number of heartbeat rounds until a job is admitted for which units are available.
+/// Maximum number of heartbeat rounds within which a job must be admitted if units for it are available.
 const ROUNDS_MAX: u32 = 100;
 
 /// A transaction in flight to the store, or its response in flight to the controller.
@@ -279,7 +279,7 @@
             .collect()
     }
 
-    pub fn delete_a_job_record(&mut self) {
+    pub fn delete_random_job_record(&mut self) {
         let ended_jobs = self.ended_jobs_with_records();
         if let Some(id) = ended_jobs.choose(&mut self.rng).cloned() {
             self.delete_job_record(&id);
@@ -335,6 +335,7 @@
     pub fn run_until_idle(&mut self) {
         self.fault_probability = 0.0;
         for _ in 0..400 {
+            // Longer than any delay of a message.
             self.advance(41.0);
             let mut busy = false;
             for controller_index in self.running_controllers() {
@@ -352,22 +353,22 @@
         Totals::of(&self.store)
     }
 
-    /// Submits a job at a controller until it is admitted, within a maximum number of transfers. Returns the number
-    /// of transfers sent.
+    /// Submits a job at a controller until it is stored. Panics if this takes more than `transfers_max` transfers or
+    /// [`ROUNDS_MAX`] rounds; returns the number of transfers sent.
     pub fn admit_eventually(
         &mut self,
         controller_index: usize,
         team: &str,
         charge: QuotaAmount,
-        transfers: u32,
+        transfers_max: u32,
     ) -> u32 {
         let before = self.transfers;
         self.next_job += 1;
         let id: Rc<str> = format!("j-{}", self.next_job).as_str().into();
         for _ in 0..ROUNDS_MAX {
             assert!(
-                self.transfers - before <= transfers,
-                "{team} at n{controller_index}: {transfers} transfers"
+                self.transfers - before <= transfers_max,
+                "{team} at n{controller_index}: more than {transfers_max} transfers"
             );
             self.submit_as(controller_index, &id, team, charge);
             self.advance(0.3);
--- a/src/admission_quota/store_mapping.rs
+++ b/src/admission_quota/store_mapping.rs
@@ -69,7 +69,7 @@
         Ok(change) => Some(change),
         Err(DecodeError::UnknownAccount) => None,
         Err(DecodeError::Value(error)) => {
-            tracing::error!(%error, "cannot decode stored quota record");
+            tracing::error!(%error, "stored quota not understood");
             None
         }
     }
@@ -103,7 +103,7 @@
         .transpose()
 }
 
-/// The change of a key that changes an account.
+/// Encodes the change of an account as a change of its key.
 fn encode_change(change: &AccountChange) -> Result<Change, serde_json::Error> {
     let key = key_of(&change.account());
     match change {
