--- a/crates/quota/src/shortages.rs
+++ b/crates/quota/src/shortages.rs
@@ -1,4 +1,5 @@
-//! Recent shortages of this controller and of others. They determine which allotments units are taken from and added to.
+//! Recent shortages of this controller and of others. They determine from which allotments units are taken, and to
+//! which they are added.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
