--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,4 +1,5 @@
-//! A controller process: the routines that do input and output around the state machines of the core.
+//! A controller process: asynchronous routines that do the input and output for state machines without any, such as
+//! `Leader` and `StateReplica`.
 //!
 //! `Controller` only composes the state of its parts; each module owns one part and the routines that serve it.
 
@@ -35,90 +36,92 @@
 use workers::relay::Relays;
 use workers::step_down_requests::StepDownRequests;
 
-/// How long a request to the front may take to arrive, in heartbeat intervals of the workers.
-const REQUEST_HEARTBEATS: f64 = 3.0;
-/// How long a connection to the front may be idle, in leases of the workers.
-const IDLE_LEASES: f64 = 4.0;
-/// A connection idle for so many heartbeat intervals belongs to no worker that goes on sending heartbeats here: when
-/// all connections are taken, it is closed for a new one.
+/// Time in which a whole request from a user or worker must arrive, in heartbeat intervals of the workers.
+const REQUEST_TIMEOUT_HEARTBEATS: f64 = 3.0;
+/// Time after which an idle connection of a user or worker is closed, in lease durations of the workers.
+const IDLE_TIMEOUT_LEASES: f64 = 4.0;
+/// Time after which an idle connection may be closed in favor of a new one when all connections are taken, in heartbeat
+/// intervals of the workers. Connections of workers that still send heartbeats to this controller are not idle for that
+/// long.
 const EVICTABLE_IDLE_HEARTBEATS: f64 = 1.5;
-/// `Retry-After` of answers to users that can't be served now, in seconds.
+/// Value of `Retry-After` in answers to requests that can't be served at the moment, in seconds.
 const RETRY_S: u32 = 1;
-/// Most requests that wait for a read barrier, or for the check of a delegation, at once.
+/// Maximum number of requests that wait for a read barrier at once, and of heartbeats that wait for the check of a
+/// delegation.
 const READ_WAITERS_MAX: usize = 256;
-/// How long a request may wait for a read barrier, in seconds; users wait 2 s for a poll.
+/// Time limit of a read barrier, in seconds. Users wait 2 s for the answer to a poll.
 const READ_TIMEOUT_S: f64 = 1.2;
-/// Time between two watches of the store, in seconds, so that changes come in batches.
+/// Pause between two watches of the store, in seconds, so that changes are received in batches.
 const WATCH_BATCH_S: f64 = 0.05;
 /// Interval at which the leader maintains its fleet, in heartbeat intervals of the workers.
 const FLEET_INTERVAL_HEARTBEATS: f64 = 0.15;
-/// Greatest such interval, in seconds.
+/// Upper bound of that interval, in seconds.
 const FLEET_INTERVAL_S_MAX: f64 = 0.5;
-/// Backoff after the state service refused or didn't answer, in seconds.
+/// Backoff after the state service rejected a request or didn't answer it, in seconds.
 const STORE_BACKOFF_S: f64 = 0.15;
-/// Interval of heartbeats between controllers, in heartbeat intervals of the workers.
-const PEER_HEARTBEAT_HEARTBEATS: f64 = 0.4;
-/// Greatest such interval, in seconds.
-const PEER_HEARTBEAT_S_MAX: f64 = 1.2;
-/// Window over which arrivals of jobs are forecast, in seconds: a few times what a machine takes to boot,
-/// which is not known before the machine types are.
+/// Interval of the heartbeats between controllers, in heartbeat intervals of the workers.
+const PEER_INTERVAL_HEARTBEATS: f64 = 0.4;
+/// Upper bound of that interval, in seconds.
+const PEER_INTERVAL_S_MAX: f64 = 1.2;
+/// Window of job arrivals from which the forecast is made, in seconds: a few times the boot time of a machine. The
+/// window is constant because boot times are unknown until the machine types are loaded.
 const FORECAST_WINDOW_S: f64 = 150.0;
 /// Length of the intervals into which that window is divided, in seconds.
-const FORECAST_STEP_S: f64 = 3.0;
-/// Largest answer accepted from the cloud or a worker, in bytes.
+const FORECAST_INTERVAL_S: f64 = 3.0;
+/// Maximum size of an answer from the cloud or a worker, in bytes.
 const ANSWER_BYTES_MAX: usize = 1024 * 1024;
 
 /// Why a controller could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// An address can't be listened at.
-    #[error("{what} {addr}: {source}")]
+    /// The controller can't listen on one of its addresses, for example because another process uses it.
+    #[error("cannot listen on {addr} (setting {setting}): {source}")]
     Listen {
-        /// The name of the setting.
-        what: &'static str,
-        /// The address.
+        /// Name of the setting that holds the address.
+        setting: &'static str,
+        /// The address that could not be bound.
         addr: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The event loop can't run.
+    /// The event loop can't be created, or it failed.
     #[error(transparent)]
     Loop(#[from] calloop::Error),
 }
 
 /// The state of a controller process, each part in a struct of its own.
 struct Controller {
-    /// For the clock, timers and sockets.
+    /// Clock, timers and sockets.
     runtime: Runtime,
-    /// The settings, the same as long as the process runs.
+    /// The settings; they don't change while the process runs.
     config: Rc<Config>,
-    /// Random number of this process: it distinguishes its writes from those of earlier processes of the host.
+    /// Random number of this process. It tells the writes of this process from those of earlier processes of the host.
     incarnation: u64,
-    /// The client of the state service.
+    /// Client of the state service.
     store: StoreClient,
-    /// The client of the cloud.
+    /// Client of the cloud.
     cloud: CloudApi,
-    /// The replica of the store, and how current it is.
+    /// The replica of the store, and up to when it is current.
     replication: Replication,
-    /// The requests that wait for the replica to be current.
+    /// The requests that wait until the replica is current.
     read_barriers: ReadBarriers,
-    /// What this controller may write for users.
+    /// Budget of the writes that this controller makes for users.
     user_writes: UserWriteBudget,
-    /// The term that this controller holds, and its leader.
+    /// The term that this controller holds, if any, and the leader's state machine.
     leadership: LeadershipState,
-    /// The workers that sent heartbeats here.
+    /// The workers that sent heartbeats to this controller.
     worker_contacts: WorkerContacts,
-    /// Requests to a leader that workers cannot reach.
+    /// Requests to a leader to step down because workers can't reach it.
     step_down_requests: StepDownRequests,
-    /// The heartbeats that wait until a delegation is known to be in force.
+    /// The heartbeats that wait for the check that a delegation is in force.
     delegation_checks: DelegationChecks,
-    /// What this controller is to report to the leader as its delegate.
+    /// Reports that this controller, as a delegate, writes for the leader.
     relays: Relays,
-    /// The other controllers, as their heartbeats show them.
+    /// The other controllers, as known from their heartbeats.
     peers: Rc<Peers>,
-    /// How many jobs of each class are expected to arrive.
+    /// Forecast of job arrivals and run times, by class of jobs.
     forecast: Rc<RefCell<ArrivalForecast>>,
-    /// Admission quotas, if the feature is enabled.
+    /// Admission quotas; None if the feature is not enabled.
     quota: Option<QuotaAdmission>,
 }
 
@@ -128,29 +131,31 @@
     Runtime::run(|runtime| Ok(start(runtime, config)?.1))
 }
 
-/// Starts a controller's routines; they end with the scope.
+/// Starts a controller's routines; they end when the scope is dropped.
 fn start(runtime: &Runtime, config: Rc<Config>) -> Result<(Rc<Controller>, Scope), StartError> {
-    let listen = |what, addr| {
-        runtime
-            .listen(addr)
-            .map_err(|source| StartError::Listen { what, addr, source })
+    let listen = |setting, addr| {
+        runtime.listen(addr).map_err(|source| StartError::Listen {
+            setting,
+            addr,
+            source,
+        })
     };
-    let front = listen("front", config.listen)?;
-    let links = listen("cluster_listen", config.peer_listen)?;
+    let front_listener = listen("front", config.listen)?;
+    let peer_listener = listen("cluster_listen", config.peer_listen)?;
     let controller = Rc::new(Controller::new(runtime, config.clone()));
     let scope = Scope::new(runtime);
-    controller.start_front(&scope, front);
-    controller.start_peer_links(&scope, links);
+    controller.start_front(&scope, front_listener);
+    controller.start_peer_links(&scope, peer_listener);
     controller.start_routines(&scope);
     tracing::info!(node = %config.node, address = %config.listen, "serving");
     Ok((controller, scope))
 }
 
 impl Controller {
-    /// A controller that knows nothing yet.
+    /// A controller with an empty replica, before its routines are started.
     fn new(runtime: &Runtime, config: Rc<Config>) -> Self {
         let incarnation = rand::rng().random();
-        let forecast = ArrivalForecast::new(FORECAST_STEP_S, FORECAST_WINDOW_S, runtime.now());
+        let forecast = ArrivalForecast::new(FORECAST_INTERVAL_S, FORECAST_WINDOW_S, runtime.now());
         Controller {
             runtime: runtime.clone(),
             incarnation,
@@ -176,8 +181,8 @@
         let workers = &self.config.deployment.workers;
         let limits = ServerLimits {
             connections: ServerLimits::connections_within(front_sockets(&self.config)),
-            request_s: workers.heartbeat_interval_s * REQUEST_HEARTBEATS,
-            idle_s: workers.lease_s * IDLE_LEASES,
+            request_s: workers.heartbeat_interval_s * REQUEST_TIMEOUT_HEARTBEATS,
+            idle_s: workers.lease_s * IDLE_TIMEOUT_LEASES,
             evictable_idle_s: workers.heartbeat_interval_s * EVICTABLE_IDLE_HEARTBEATS,
         };
         let controller = self.clone();
@@ -192,7 +197,7 @@
     fn start_peer_links(self: &Rc<Self>, scope: &Scope, listener: Listener) {
         let workers = &self.config.deployment.workers;
         let interval_s =
-            (workers.heartbeat_interval_s * PEER_HEARTBEAT_HEARTBEATS).min(PEER_HEARTBEAT_S_MAX);
+            (workers.heartbeat_interval_s * PEER_INTERVAL_HEARTBEATS).min(PEER_INTERVAL_S_MAX);
         let receiver = HeartbeatReceiver {
             runtime: self.runtime.clone(),
             interval_s,
@@ -214,7 +219,7 @@
         }
     }
 
-    /// Starts the routines that need no listener.
+    /// Starts the routines that don't listen for connections.
     fn start_routines(self: &Rc<Self>, scope: &Scope) {
         scope.spawn(self.clone().watch_state());
         scope.spawn(self.clone().serve_read_barriers());
@@ -231,12 +236,13 @@
         }
     }
 
-    /// The time of the steady clock, in seconds.
+    /// The present time on the steady clock, in seconds.
     fn now(&self) -> Time {
         self.runtime.now()
     }
 
-    /// The heartbeat for another controller. `last_reported` is the last machine that it was sent, and is moved on.
+    /// The next heartbeat to another controller. Workers are reported page by page: `last_reported` is the last machine
+    /// that was sent to that controller, empty before the first page, and advances to the last one of this heartbeat.
     fn peer_heartbeat(&self, last_reported: &mut String) -> PeerHeartbeat {
         let now = self.now();
         let lease_s = self.config.deployment.workers.lease_s;
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -1,4 +1,4 @@
-//! Leading: elections, the leader's rounds, and what they send to workers and to the cloud.
+//! Leadership of a controller: elections, the leader's rounds, its direct commands to workers, its calls to the cloud.
 
 pub(crate) mod cloud_calls;
 pub(crate) mod direct_commands;
--- a/src/controller/leading/cloud_calls.rs
+++ b/src/controller/leading/cloud_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud: the leader's, one at a time, and those that any controller makes for the machine types.
+//! Calls to the cloud: those of the leader, one at a time, and those that any controller makes for the machine types.
 
 use std::rc::Rc;
 
@@ -14,21 +14,21 @@
 
 /// Time limit of a call to the cloud, in seconds.
 const CALL_TIMEOUT_S: f64 = 5.0;
-/// Share of the cloud's limit of requests that a controller uses.
+/// Share of the cloud's rate limit that a controller uses.
 const CLOUD_RATE_SHARE: f64 = 0.85;
 
-/// The cloud's interface, called within its limit of requests.
+/// A client of the cloud's API that stays within the cloud's rate limit.
 pub(crate) struct CloudApi {
-    /// For the clock and for waits.
+    /// Clock and timers.
     runtime: Runtime,
     /// The HTTP client of the cloud.
     client: Client,
-    /// Paces the calls, within the cloud's limit.
+    /// Delays calls to stay within the cloud's rate limit.
     rate_limit: TokenBucket,
 }
 
 impl CloudApi {
-    /// The cloud at the address in the settings.
+    /// A client of the cloud at the address in the settings.
     pub fn new(runtime: &Runtime, config: &Config) -> Self {
         let rps = config.deployment.cloud.rps;
         CloudApi {
@@ -38,21 +38,21 @@
         }
     }
 
-    /// Makes a call as soon as the limit of requests allows.
+    /// Makes a call as soon as the rate limit allows it.
     pub async fn call(&self, call: &CloudCall) -> CloudAnswer {
         let wait_s = self.rate_limit.acquire(1.0, self.runtime.now());
         self.runtime.sleep(wait_s).await;
-        let (method, path, body) = request_of(call);
-        let answer = self
+        let (method, path, body) = http_request(call);
+        let response = self
             .client
             .call(method, &path, body.as_deref(), CALL_TIMEOUT_S)
             .await;
-        answer_of(call, &path, answer)
+        parse_response(call, &path, response)
     }
 }
 
 impl Controller {
-    /// Makes the calls to the cloud that the leader asks for.
+    /// Makes the calls to the cloud that the leader requests.
     pub(crate) async fn call_cloud(self: Rc<Self>) {
         let pause_s = self.fleet_interval_s() * 2.0;
         loop {
@@ -72,10 +72,11 @@
             let answer = self.cloud.call(&call).await;
             let has_failed = matches!(answer, CloudAnswer::Failed);
             let now = self.now();
-            // What the cloud did is recorded even if the lease is not trusted at this moment.
-            self.leadership.with_leader_of(fencing_token, |leader| {
-                leader.on_cloud_answer(call, answer, now);
-            });
+            // The answer is recorded even if the term is not trusted at this moment: it shows what the cloud did.
+            self.leadership
+                .with_leader_of_term(fencing_token, |leader| {
+                    leader.on_cloud_answer(call, answer, now);
+                });
             self.leadership.round_due.set();
             if has_failed {
                 self.runtime.sleep(pause_s).await;
@@ -84,8 +85,8 @@
     }
 }
 
-/// The method, path and body of a call.
-fn request_of(call: &CloudCall) -> (&'static str, String, Option<Vec<u8>>) {
+/// The HTTP method, path and body of a call.
+fn http_request(call: &CloudCall) -> (&'static str, String, Option<Vec<u8>>) {
     match call {
         CloudCall::Types => ("GET", paths::MACHINE_TYPES.to_owned(), None),
         CloudCall::List { after } if after.is_empty() => {
@@ -112,16 +113,16 @@
     }
 }
 
-/// What an answer, or its absence, says of a call.
-fn answer_of(
+/// Interprets the HTTP status and body of the response to a call, or the error of a call without a response.
+fn parse_response(
     call: &CloudCall,
     path: &str,
-    answer: Result<(u16, Vec<u8>), CallError>,
+    response: Result<(u16, Vec<u8>), CallError>,
 ) -> CloudAnswer {
-    match (call, answer) {
+    match (call, response) {
         (CloudCall::Types, Ok((200, body))) => {
             match serde_json::from_slice::<MachineTypes>(&body) {
-                Ok(t) if !t.types.is_empty() => CloudAnswer::Types(t.types),
+                Ok(list) if !list.types.is_empty() => CloudAnswer::Types(list.types),
                 _ => CloudAnswer::Failed,
             }
         }
@@ -156,7 +157,9 @@
     }
 }
 
-/// Whether `haystack` contains `needle`.
+/// Whether `haystack` contains `needle`, which must not be empty.
 fn contains(haystack: &[u8], needle: &[u8]) -> bool {
-    haystack.windows(needle.len()).any(|w| w == needle)
+    haystack
+        .windows(needle.len())
+        .any(|window| window == needle)
 }
--- a/src/controller/leading/direct_commands.rs
+++ b/src/controller/leading/direct_commands.rs
@@ -1,4 +1,4 @@
-//! Direct commands to workers: they fence a former leader off, and stop tasks without delay.
+//! Direct commands to workers: they fence off a former leader, and stop tasks without waiting for a heartbeat.
 
 use std::rc::Rc;
 
@@ -11,11 +11,12 @@
 use crate::protocol::workers::{Command, DirectCommandRequest};
 use crate::runtime::Scope;
 
-/// Least interval of direct commands to one worker, and their time limit, in heartbeat intervals.
+/// Minimum interval between direct commands to one worker, in heartbeat intervals. It is also their time limit, within
+/// the bounds below.
 const INTERVAL_HEARTBEATS: f64 = 0.5;
-/// Least time limit of a direct command, in seconds.
+/// Minimum time limit of a direct command, in seconds.
 const TIMEOUT_S_MIN: f64 = 1.0;
-/// Greatest time limit of a direct command, in seconds.
+/// Maximum time limit of a direct command, in seconds.
 const TIMEOUT_S_MAX: f64 = 2.0;
 
 impl Controller {
@@ -24,11 +25,11 @@
         let now = self.now();
         let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
         let interval_s = heartbeat_interval_s * INTERVAL_HEARTBEATS;
-        let count_max = direct_commands_max(&self.config);
+        let in_flight_max = direct_commands_max(&self.config);
         let messages = self
             .with_leader(fencing_token, |leader| {
-                let free = count_max.saturating_sub(scope.live());
-                leader.take_direct_commands(now, interval_s, free)
+                let free_slots = in_flight_max.saturating_sub(scope.live());
+                leader.take_direct_commands(now, interval_s, free_slots)
             })
             .unwrap_or_default();
         let timeout_s = interval_s.clamp(TIMEOUT_S_MIN, TIMEOUT_S_MAX);
@@ -37,12 +38,12 @@
             scope.spawn(async move {
                 let machine = message.machine;
                 let outcome = controller
-                    .send_direct(fencing_token, message, timeout_s)
+                    .send_to_worker(fencing_token, message, timeout_s)
                     .await;
                 let now = controller.now();
                 let leadership = &controller.leadership;
-                // The outcome is recorded even if the lease is not trusted at this moment.
-                leadership.with_leader_of(fencing_token, |leader| {
+                // The outcome is recorded even if the term is not trusted at this moment: it shows what the worker did.
+                leadership.with_leader_of_term(fencing_token, |leader| {
                     leader.on_direct_outcome(machine, outcome, now);
                 });
                 leadership.round_due.set();
@@ -50,8 +51,8 @@
         }
     }
 
-    /// Whether commands start something of a job that has ended meanwhile: a cancellation may come
-    /// between the round that made them and the connection over which they go.
+    /// Whether any of these commands launches a task of a job that has ended: the job may be cancelled after the round
+    /// that made the commands and before the connection to the worker is established.
     fn starts_ended_job(&self, commands: &[Command]) -> bool {
         commands.iter().any(|command| match command {
             Command::Start { task, .. } => self.is_job_ended(task),
@@ -59,7 +60,7 @@
         })
     }
 
-    /// Whether the job of a task, named as on the wire, has ended.
+    /// Whether a task's job has ended. `task` is the task's name in the protocol of the workers.
     pub(crate) fn is_job_ended(&self, task: &str) -> bool {
         let replica = self.replication.replica.borrow();
         parse_task_name(task)
@@ -67,8 +68,9 @@
             .is_some_and(|job| job.has_ended())
     }
 
-    /// Sends commands to a worker, unless they are out of date once there is a connection.
-    async fn send_direct(
+    /// Sends commands to a worker. They are dropped if they are outdated by the time the connection is established: the
+    /// term is no longer trusted, or they launch a task of a job that has ended.
+    async fn send_to_worker(
         &self,
         fencing_token: u64,
         message: DirectCommands,
--- a/src/controller/leading/elections.rs
+++ b/src/controller/leading/elections.rs
@@ -1,4 +1,4 @@
-//! Elections: campaigning for leadership, holding a term, and ending it.
+//! Elections: campaigns for leadership, and the term of leadership from its start to its end.
 
 use std::rc::Rc;
 
@@ -12,48 +12,50 @@
 use crate::peers::WorkerLocation;
 use crate::runtime::Time;
 
-/// Renewals within the life of the leader's lease.
+/// Renewals of the leader's lease within one lease duration.
 const RENEWALS_PER_LEASE: f64 = 4.0;
-/// A leader whose lease is renewed but whose replica was not current for so many lives of the lease resigns.
+/// Time after which a leader resigns if its lease is renewed but its replica is not current, in lease durations.
 const STALE_REPLICA_LEASES: f64 = 2.0;
-/// For how long a leader that resigned does not campaign, in lives of its lease.
-const RESIGNED_BACKOFF_LEASES: f64 = 3.0;
-/// For how long a controller lets others that should rather lead campaign first, in lives of the lease.
+/// Time for which a controller that resigned does not campaign, in lease durations.
+const RESIGNATION_BACKOFF_LEASES: f64 = 3.0;
+/// Delay of the campaigns of a controller that yields to its peers, in lease durations; see
+/// [`leadership::yields_to_peers`].
 const YIELD_LEASES: f64 = 0.3;
-/// Longest time between two looks at the leader's record, in lives of the lease, before jitter.
+/// Maximum interval between two checks whether there is a leader, in lease durations, before jitter.
 const ELECTION_CHECK_LEASES: f64 = 0.1;
 
 /// How a term ended.
 enum TermEnd {
-    /// The lease expired: another controller may lead.
+    /// The lease expired: another controller may already lead.
     Expired,
-    /// This controller resigned: another should lead.
+    /// This controller resigned, so that another is elected.
     Resigned,
 }
 
-/// When this controller may campaign.
+/// Earliest time of this controller's next campaign.
 struct CampaignSchedule {
     /// No campaign before this time.
     not_before: Time,
-    /// How long leadership must have been vacant, in seconds.
+    /// How long leadership must have been vacant before a campaign, in seconds; 0 unless this controller yields to its
+    /// peers.
     yield_s: f64,
-    /// Since when leadership has been vacant.
+    /// Since when leadership has been vacant and this controller able to campaign; None while that is not so.
     vacant_since: Option<Time>,
 }
 
 impl CampaignSchedule {
-    /// Whether a campaign is due now, given whether one is possible.
+    /// Whether to campaign now. `is_possible` says whether leadership is vacant and this controller able to campaign.
     fn is_due(&mut self, is_possible: bool, now: impl Fn() -> Time) -> bool {
-        let since = *self.vacant_since.get_or_insert(now());
+        let vacant_since = *self.vacant_since.get_or_insert(now());
         if !is_possible {
             self.vacant_since = None;
         }
-        is_possible && now() >= self.not_before.max(since + self.yield_s)
+        is_possible && now() >= self.not_before.max(vacant_since + self.yield_s)
     }
 }
 
 impl Controller {
-    /// Campaigns whenever there is no leader, and holds each term that is won until it ends.
+    /// Campaigns whenever there is no leader. After a won election, holds the term until it ends.
     pub(crate) async fn run_elections(self: Rc<Self>) {
         let lease_duration_s = self.config.leader_lease_s();
         self.revoke_previous_incarnation_at_start().await;
@@ -67,27 +69,27 @@
             vacant_since: None,
         };
         loop {
-            self.leadership.record_changed.clear();
+            self.leadership.leader_record_changed.clear();
             if self.previous_incarnation_leads() {
                 self.revoke_previous_incarnation().await;
             }
             let is_vacant = self.replication.is_loaded.get()
                 && self.replication.replica.borrow().leader.is_none();
-            let knows_types = self.replication.replica.borrow().machine_types.is_some();
-            if schedule.is_due(is_vacant && knows_types, || self.now())
+            let has_machine_types = self.replication.replica.borrow().machine_types.is_some();
+            if schedule.is_due(is_vacant && has_machine_types, || self.now())
                 && let Some(term) = self.campaign().await
                 && let TermEnd::Resigned = self.hold_term(term).await
             {
-                schedule.not_before = self.now() + lease_duration_s * RESIGNED_BACKOFF_LEASES;
+                schedule.not_before = self.now() + lease_duration_s * RESIGNATION_BACKOFF_LEASES;
             }
             let pause_s =
                 lease_duration_s * ELECTION_CHECK_LEASES * rand::rng().random_range(0.5..1.5);
-            let changed = std::pin::pin!(self.leadership.record_changed.wait());
+            let changed = std::pin::pin!(self.leadership.leader_record_changed.wait());
             select(changed, self.runtime.sleep(pause_s)).await;
         }
     }
 
-    /// Campaigns once; the term, if this controller was elected.
+    /// Campaigns once. Returns the term if this controller was elected.
     async fn campaign(&self) -> Option<LeaderTerm> {
         leadership::campaign(&self.runtime, &self.store, &self.config, self.incarnation)
             .await
@@ -95,12 +97,12 @@
             .ok()
     }
 
-    /// Revokes the lease of this host's previous process, if the store shows that one as the leader.
+    /// Revokes the leader's lease if the store shows a previous process of this host as the leader.
     async fn revoke_previous_incarnation(&self) {
         leadership::revoke_previous_incarnation(&self.store, &self.config, self.incarnation).await;
     }
 
-    /// Revokes the lease of this host's previous process until the replica is loaded.
+    /// Revokes the lease of this host's previous process, repeatedly until the replica is loaded.
     async fn revoke_previous_incarnation_at_start(&self) {
         loop {
             self.revoke_previous_incarnation().await;
@@ -111,8 +113,8 @@
         }
     }
 
-    /// Whether the store shows a previous process of this host as the leader: one that ended in the middle of
-    /// an election, and whose request was carried out after that. There is no leader then.
+    /// Whether the store shows a previous process of this host as the leader. That process ended during its campaign,
+    /// and the state service applied its transaction later, so no running process holds that term.
     fn previous_incarnation_leads(&self) -> bool {
         let replica = self.replication.replica.borrow();
         let leader = replica.leader.as_ref();
@@ -127,19 +129,20 @@
         tracing::info!(%node, fencing_token, "elected leader");
         self.leadership.term.set(Some(term));
         self.leadership.resign.clear();
-        let mut is_started = false;
+        let mut is_leader_started = false;
         let lease_duration_s = self.config.leader_lease_s();
         let renewal_interval_s = lease_duration_s / RENEWALS_PER_LEASE;
         let elected_at = self.now();
         loop {
-            if !is_started && self.wait_for_revision(fencing_token).await.is_ok() {
+            if !is_leader_started && self.wait_for_revision(fencing_token).await.is_ok() {
                 self.replication.record_current_at(term.renewal_sent_at);
                 if let Some(leader) = self.new_leader(fencing_token) {
                     self.start_leader(leader);
-                    is_started = true;
+                    is_leader_started = true;
                 }
             }
-            // What this leader answers rests on a replica known to be current, see `LeaderTerm::trusted_until`.
+            // The term is trusted only while read barriers show the replica to be current, see
+            // `LeaderTerm::trusted_until`.
             self.read_barriers.requested.set();
             if self.is_replica_stale(&term, elected_at, lease_duration_s) {
                 tracing::warn!(fencing_token, "lease renewed but no changes received");
@@ -165,19 +168,20 @@
         }
     }
 
-    /// Whether the lease is renewed while the replica has long not been shown to be current.
+    /// Whether the lease is renewed although the replica has not been shown to be current for
+    /// [`STALE_REPLICA_LEASES`] lease durations.
     fn is_replica_stale(&self, term: &LeaderTerm, elected_at: Time, lease_duration_s: f64) -> bool {
         let current_at = self.replication.current_at.get();
         let current_at = current_at.map_or(elected_at, |at| at.max(elected_at));
         term.renewal_sent_at - current_at > lease_duration_s * STALE_REPLICA_LEASES
     }
 
-    /// Records a renewal of the lease: the term is trusted for another life of it.
+    /// Records a renewal of the lease, which extends the time for which the term is trusted.
     fn on_term_renewed(&self, term: LeaderTerm) {
         let now = self.now();
         self.replication.record_store_contact(now);
-        // While the lease was not trusted no heartbeat could be answered: the silence of the workers was this
-        // controller's own doing.
+        // While the term was not trusted, this controller answered no heartbeats and recorded no contact. That gap
+        // is its own fault and must not count as silence of the workers.
         if self.trusted_fencing_token().is_none()
             && let Some(leader) = self.leadership.leader.borrow_mut().as_mut()
         {
@@ -186,15 +190,15 @@
         self.leadership.term.set(Some(term));
     }
 
-    /// The leader's state machine as the replica shows the state; None while the machine types are not known.
+    /// The leader's state machine for a new term, built from the replica; None while the machine types are unknown.
     fn new_leader(&self, fencing_token: u64) -> Option<Leader> {
         let now = self.now();
         let replica = self.replication.replica.borrow();
-        let types = replica.machine_types.clone()?;
+        let machine_types = replica.machine_types.clone()?;
         let mut leader = Leader::start_term(
             self.config.clone(),
             fencing_token,
-            types,
+            machine_types,
             &replica,
             self.forecast.clone(),
             now,
@@ -213,14 +217,15 @@
         Some(leader)
     }
 
-    /// Begins the leader's rounds and its calls to the cloud.
+    /// Starts the leader's rounds and its calls to the cloud.
     fn start_leader(&self, leader: Leader) {
         *self.leadership.leader.borrow_mut() = Some(leader);
         self.leadership.round_due.set();
         self.leadership.cloud_calls_due.set();
     }
 
-    /// The workers that sent heartbeats to any controller within a lease: those of other controllers first.
+    /// The workers that sent a heartbeat to any controller within the last lease duration of a worker: first those
+    /// reported by other controllers, then those known here.
     fn known_workers(&self, now: Time) -> Vec<WorkerLocation> {
         let lease_s = self.config.deployment.workers.lease_s;
         let mut workers = self.peers.workers(now, lease_s);
--- a/src/controller/leading/leader_loop.rs
+++ b/src/controller/leading/leader_loop.rs
@@ -1,4 +1,5 @@
-//! The leader's rounds: maintain the fleet, place tasks, store the decisions, command workers.
+//! The leader's rounds: each maintains the fleet if that is due, places tasks, sends the direct commands that are due,
+//! and stores the decisions.
 
 use std::rc::Rc;
 
@@ -11,20 +12,20 @@
 use crate::runtime::{Scope, Time};
 use crate::store::transaction::TxnOutcome;
 
-/// Most transactions that a round sends.
+/// Maximum number of transactions that a round sends.
 pub(crate) const ROUND_TRANSACTIONS_MAX: usize = 3;
-/// Shortest time between two rounds, in seconds, so that heartbeats are taken in batches.
+/// Minimum gap between two rounds, in seconds, so that a round handles a batch of heartbeats.
 const ROUND_GAP_S: f64 = 0.03;
-/// The gap after a round, as a multiple of the time that the round took: a long one must not keep
-/// heartbeats and the lease's renewal waiting.
+/// Minimum gap after a round, as a multiple of the time that its decisions took: long rounds without a gap would delay
+/// the handling of heartbeats and the renewal of the lease.
 const ROUND_GAP_FACTOR: f64 = 1.0;
 
-/// Whether a round's look at the fleet showed that the leader must resign.
+/// Whether the leader may go on after a round or must resign.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum RoundVerdict {
+enum RoundOutcome {
     /// The leader may go on.
     Continue,
-    /// No worker acknowledges this leader's fencing token.
+    /// Most workers do not acknowledge this leader's answers, so it must resign.
     Unacknowledged,
 }
 
@@ -38,7 +39,7 @@
     /// Runs the leader's rounds while this controller leads.
     pub(crate) async fn run_leader(self: Rc<Self>) {
         let fleet_interval_s = self.fleet_interval_s();
-        let direct_commands = Rc::new(Scope::new(&self.runtime));
+        let direct_command_scope = Rc::new(Scope::new(&self.runtime));
         let mut maintained_at: Option<Time> = None;
         let mut round_s: f64 = 0.0;
         loop {
@@ -50,12 +51,12 @@
             };
             let now = self.now();
             let maintains_fleet = maintained_at.is_none_or(|at| now - at >= fleet_interval_s);
-            let verdict = self.run_round(fencing_token, maintains_fleet, now);
+            let outcome = self.run_round(fencing_token, maintains_fleet, now);
             round_s = self.now() - now;
-            let Some(verdict) = verdict else {
+            let Some(outcome) = outcome else {
                 continue;
             };
-            if verdict == RoundVerdict::Unacknowledged {
+            if outcome == RoundOutcome::Unacknowledged {
                 tracing::warn!(fencing_token, "workers do not acknowledge this leader");
                 self.leadership.resign.set();
             }
@@ -63,7 +64,7 @@
                 maintained_at = Some(now);
                 self.leadership.cloud_calls_due.set();
             }
-            self.send_direct_commands(fencing_token, &direct_commands);
+            self.send_direct_commands(fencing_token, &direct_command_scope);
             self.write_leader_state(fencing_token).await;
             self.leadership.round_completed.notify_all();
         }
@@ -78,20 +79,20 @@
             .borrow()
             .as_ref()
             .and_then(Leader::next_write_at)
-            .map_or(fleet_interval_s, |at| {
-                (at - now).clamp(ROUND_GAP_S, fleet_interval_s)
+            .map_or(fleet_interval_s, |write_at| {
+                (write_at - now).clamp(ROUND_GAP_S, fleet_interval_s)
             });
         let due = std::pin::pin!(self.leadership.round_due.take());
         select(due, self.runtime.sleep(timeout_s)).await;
     }
 
-    /// The decisions of a round; None if this controller may not act under that token.
+    /// Makes the decisions of a round; None if this controller may not act under that fencing token.
     fn run_round(
         &self,
         fencing_token: u64,
         maintains_fleet: bool,
         now: Time,
-    ) -> Option<RoundVerdict> {
+    ) -> Option<RoundOutcome> {
         let pause = self.runtime.pause();
         self.with_leader(fencing_token, |leader| {
             leader.record_pause(pause);
@@ -100,15 +101,16 @@
             }
             leader.schedule(now);
             if maintains_fleet && leader.fleet.is_unacknowledged_by_workers() {
-                RoundVerdict::Unacknowledged
+                RoundOutcome::Unacknowledged
             } else {
-                RoundVerdict::Continue
+                RoundOutcome::Continue
             }
         })
     }
 
-    /// Writes what is due, in a few transactions: where jobs end all the time there is always more,
-    /// and for ten seconds nothing was placed once.
+    /// Writes the leader's pending state, in at most [`ROUND_TRANSACTIONS_MAX`] transactions. Where jobs end
+    /// continuously there is always more to write: without the limit, a round's writes delay placement by as much as ten
+    /// seconds.
     pub(crate) async fn write_leader_state(&self, fencing_token: u64) {
         for _ in 0..ROUND_TRANSACTIONS_MAX {
             let now = self.now();
@@ -121,9 +123,11 @@
             if matches!(outcome, TxnOutcome::Applied(_) | TxnOutcome::Conflict(_)) {
                 self.replication.record_store_contact(now);
             }
-            let next = self.leadership.with_leader_of(fencing_token, |leader| {
-                leader.on_transaction_outcome(outcome, now)
-            });
+            let next = self
+                .leadership
+                .with_leader_of_term(fencing_token, |leader| {
+                    leader.on_transaction_outcome(outcome, now)
+                });
             match next {
                 None => return,
                 Some(AfterTransaction::Continue) => {}
@@ -143,10 +147,10 @@
         }
     }
 
-    /// Reads what a write left, to learn whether an earlier copy of it was applied.
+    /// Reads a key that the transaction in flight writes, to learn whether an earlier copy of it was applied.
     async fn read_back(&self, fencing_token: u64, key: &str) {
         if let Ok(found) = self.store.get(key).await {
-            let revision = found.map_or(0, |f| f.revision);
+            let revision = found.map_or(0, |stored| stored.revision);
             let now = self.now();
             self.with_leader(fencing_token, |leader| leader.on_read_back(revision, now));
         }
--- a/src/controller/leading/leadership_state.rs
+++ b/src/controller/leading/leadership_state.rs
@@ -1,7 +1,7 @@
 //! The state of leadership: the term that this controller holds, if any, and the leader's state machine.
 //!
-//! Whatever acts in the leader's name goes through [`Controller::with_leader`], which judges the lease at that very
-//! moment: a starved process wakes late.
+//! All actions as the leader go through [`Controller::with_leader`], which checks at that moment that the term is still
+//! trusted: a process that was paused or got no CPU time may resume after its lease has expired.
 
 use std::cell::{Cell, RefCell};
 
@@ -10,29 +10,30 @@
 use crate::leadership::LeaderTerm;
 use crate::runtime::{Notify, Signal};
 
-/// What a controller keeps of leadership.
+/// Leadership of this controller, and the signals between the routines that exercise it.
 #[derive(Default)]
 pub(crate) struct LeadershipState {
-    /// The term that this controller holds; it may act under it only while the term is trusted, see
+    /// The term that this controller holds, if any. It may act as the leader only while the term is trusted, see
     /// [`Controller::trusted_fencing_token`].
     pub term: Cell<Option<LeaderTerm>>,
-    /// The leader's state machine, once the replica has reached the revision of the election.
+    /// The leader's state machine; None until the replica has reached the revision of the election.
     pub leader: RefCell<Option<Leader>>,
-    /// Set when the store's record of the leader changed.
-    pub record_changed: Signal,
-    /// Ends the term that this controller holds.
+    /// Set when the leader's record in the store changes.
+    pub leader_record_changed: Signal,
+    /// Set to make this controller resign from the term that it holds.
     pub resign: Signal,
-    /// Begins the leader's next round.
+    /// Set when the leader's next round is due.
     pub round_due: Signal,
-    /// Notifies when the leader has placed and stored what it could.
+    /// Notifies at the end of each round, when the round has placed tasks and stored its decisions.
     pub round_completed: Notify,
     /// Set when calls to the cloud may be due.
     pub cloud_calls_due: Signal,
 }
 
 impl LeadershipState {
-    /// Runs `f` on the leader's state machine of that term, even if the term is not trusted at this moment.
-    pub fn with_leader_of<T>(
+    /// Runs `f` on the leader's state machine of the term with this fencing token, even if the term is not trusted at
+    /// this moment. For the outcomes of earlier actions; new actions need [`Controller::with_leader`].
+    pub fn with_leader_of_term<T>(
         &self,
         fencing_token: u64,
         f: impl FnOnce(&mut Leader) -> T,
@@ -44,7 +45,7 @@
             .map(f)
     }
 
-    /// Ends the term at this controller.
+    /// Ends the term at this controller, without revoking its lease.
     pub fn step_down(&self) {
         self.term.set(None);
         *self.leader.borrow_mut() = None;
@@ -52,16 +53,16 @@
 }
 
 impl Controller {
-    /// The fencing token under which this controller may act as the leader at this very moment.
+    /// The fencing token under which this controller may act as the leader at this moment; None if it may not.
     pub(crate) fn trusted_fencing_token(&self) -> Option<u64> {
         let term = self.leadership.term.get()?;
         let replica_current_at = self.replication.current_at.get()?;
-        let lease_duration_s = self.config.trusted_leader_lease_s();
-        let is_trusted = self.now() < term.trusted_until(replica_current_at, lease_duration_s);
+        let trusted_lease_s = self.config.trusted_leader_lease_s();
+        let is_trusted = self.now() < term.trusted_until(replica_current_at, trusted_lease_s);
         is_trusted.then_some(term.fencing_token)
     }
 
-    /// Runs `f` on the leader's state machine, if this controller may act under `fencing_token` right now.
+    /// Runs `f` on the leader's state machine, if this controller may act under `fencing_token` at this moment.
     pub(crate) fn with_leader<T>(
         &self,
         fencing_token: u64,
@@ -70,6 +71,6 @@
         if self.trusted_fencing_token() != Some(fencing_token) {
             return None;
         }
-        self.leadership.with_leader_of(fencing_token, f)
+        self.leadership.with_leader_of_term(fencing_token, f)
     }
 }
--- a/src/controller/leading/machine_types.rs
+++ b/src/controller/leading/machine_types.rs
@@ -1,4 +1,4 @@
-//! The machine types that the cloud offers: asked for once, and stored for all controllers.
+//! The machine types that the cloud offers: read from the cloud once, and stored for all controllers.
 
 use std::rc::Rc;
 
@@ -11,11 +11,12 @@
 use crate::store::keys;
 use crate::store::transaction::TxnOutcome;
 
-/// Longest pause between two attempts, in heartbeat intervals of the workers; each is shortened at random.
+/// Maximum pause between two attempts, in heartbeat intervals of the workers, before jitter shortens it.
 const ATTEMPT_PAUSE_HEARTBEATS: f64 = 0.25;
 
 impl Controller {
-    /// Asks the cloud for the machine types until they are known: nothing can be decided before.
+    /// Requests the machine types from the cloud until they are known: without them no job is accepted and no leader
+    /// elected.
     pub(crate) async fn load_machine_types(self: Rc<Self>) {
         let pause_s =
             self.config.deployment.workers.heartbeat_interval_s * ATTEMPT_PAUSE_HEARTBEATS;
@@ -33,9 +34,9 @@
             {
                 let bytes_max = self.config.deployment.state.value_kb * 1024.0;
                 let is_storable = value.get().len() as f64 <= bytes_max;
-                let txn = store_types(value);
+                let txn = creation_of_types(value);
                 if !is_storable || self.write_for_user(&txn).await == TxnOutcome::TooLarge {
-                    // They can't be stored: each controller asks for itself.
+                    // The types are too large to be stored, so each controller requests them itself.
                     self.replication.replica.borrow_mut().machine_types = Some(Rc::new(types));
                     return;
                 }
@@ -45,8 +46,8 @@
     }
 }
 
-/// Stores the machine types, unless another controller has.
-fn store_types(value: Box<serde_json::value::RawValue>) -> Txn {
+/// Creates the record of the machine types, if it is absent.
+fn creation_of_types(value: Box<serde_json::value::RawValue>) -> Txn {
     Txn {
         conditions: vec![Condition {
             key: keys::machine_types(),
--- a/src/controller/replication.rs
+++ b/src/controller/replication.rs
@@ -1,4 +1,4 @@
-//! The controller's replica of the store: loaded whole, then kept current by watching.
+//! Maintenance of the controller's replica of the store: a full load, then a watch that keeps it current.
 
 pub(crate) mod read_barriers;
 mod replica_events;
@@ -16,55 +16,55 @@
 use crate::store::keys;
 use crate::store::replica::StateReplica;
 
-/// Time limit of one watch, in seconds: less than the silence after which the state service counts as lost.
+/// Time limit of one watch, in seconds: less than the silence after which the state service is taken to be unreachable.
 pub(super) const WATCH_S: f64 = 2.0;
-/// Time limit of a watch after a restart, as a part of [`STALE_WATCH_S`].
+/// Time limit of a watch that replaces one ended early, as a fraction of [`STALE_WATCH_S`].
 const RESTARTED_WATCH_SHARE: f64 = 0.25;
 
-/// The replica, how current it is, and what its routines wait for.
+/// The replica, up to when it is current, and the signals of the routines that maintain it.
 #[derive(Default)]
 pub(super) struct Replication {
-    /// The state of the store, as far as it is known here.
+    /// The content of the store, as far as it has been received.
     pub replica: RefCell<StateReplica>,
-    /// Whether the replica is whole; not while it is loaded anew.
+    /// Whether the replica is completely loaded; false while it is loaded again.
     pub is_loaded: Cell<bool>,
-    /// Notifies when the replica has moved on.
+    /// Notifies when the replica was loaded or changes were applied to it.
     pub advanced: Notify,
-    /// Ends the gap in which changes are batched.
+    /// Ends the pause in which changes are batched.
     pub end_batching: Signal,
-    /// Ends the watch under way and begins another.
+    /// Ends the watch in progress and starts another.
     pub restart_watch: Signal,
-    /// When the state service last answered.
+    /// When the state service last answered; None if it never did.
     store_contact_at: Cell<Option<Time>>,
-    /// All that was stored at this time is in the replica.
+    /// The latest time for which the replica is known to hold all that was stored then; None before the first load.
     pub current_at: Cell<Option<Time>>,
 }
 
 impl Replication {
-    /// The replica shows all that was stored at `at`.
+    /// Records that the replica holds all that was stored at the time `at`.
     pub fn record_current_at(&self, at: Time) {
         let latest = self.current_at.get().map_or(at, |known| known.max(at));
         self.current_at.set(Some(latest));
     }
 
-    /// The state service answered.
+    /// Records that the state service answered.
     pub fn record_store_contact(&self, now: Time) {
         self.store_contact_at.set(Some(now));
     }
 
-    /// Seconds since the state service last answered, if it ever did.
+    /// Seconds since the state service last answered; None if it never did.
     pub fn store_contact_age_s(&self, now: Time) -> Option<f64> {
         self.store_contact_at.get().map(|at| now - at)
     }
 
-    /// Whether the replica is loaded and shows that revision.
+    /// Whether the replica is loaded and has reached this revision of the store.
     pub fn has_reached(&self, revision: u64) -> bool {
         self.is_loaded.get() && self.replica.borrow().revision >= revision
     }
 }
 
 impl Controller {
-    /// Keeps the replica current: loads it, and watches the store until it must be loaded anew.
+    /// Keeps the replica current: loads it, then watches the store until the replica must be loaded again.
     pub(super) async fn watch_state(self: Rc<Self>) {
         loop {
             if let Err(error) = self.load_replica().await {
@@ -79,59 +79,61 @@
 
     /// Reads all that is stored into a new replica.
     async fn load_replica(&self) -> Result<(), StoreError> {
-        let mut fresh = self.empty_replica();
-        let mut after = String::new();
+        let mut new_replica = self.empty_replica();
+        let mut after_key = String::new();
         let mut first_revision = None;
         let mut last_revision;
-        let began = self.now();
+        let load_started_at = self.now();
         loop {
-            let page = self.store.list(keys::ROOT, &after).await?;
+            let page = self.store.list(keys::ROOT, &after_key).await?;
             self.replication.record_store_contact(self.now());
             first_revision.get_or_insert(page.revision);
             last_revision = page.revision;
             for item in &page.items {
-                fresh.apply(&item.key, Some(&item.value), item.revision);
+                new_replica.apply(&item.key, Some(&item.value), item.revision);
             }
             match page.items.last() {
-                Some(last) if page.truncated => after = last.key.clone(),
+                Some(last) if page.truncated => after_key = last.key.clone(),
                 _ => break,
             }
         }
-        // What changed between the pages comes with the watch that begins at the first.
-        fresh.advance_to(first_revision.unwrap_or(0));
-        if let Some(ledger) = &mut fresh.quota {
-            // Jobs were read before the quotas that they are charged to: until the changes meanwhile have come,
-            // charges are missing.
+        // Changes made between the reads of two pages are delivered by the watch, which starts at the revision of the
+        // first page.
+        new_replica.advance_to(first_revision.unwrap_or(0));
+        if let Some(ledger) = &mut new_replica.quota {
+            // Jobs are read before the quota accounts that they are charged to: until the watch has delivered the
+            // changes made during the load, charges are missing.
             ledger.read_until(last_revision);
         }
         let known_types = self.replication.replica.borrow().machine_types.clone();
-        fresh.machine_types = fresh.machine_types.or(known_types);
-        fresh.finish_load(self.now(), self.runtime.unix_ms());
-        *self.replication.replica.borrow_mut() = fresh;
+        new_replica.machine_types = new_replica.machine_types.or(known_types);
+        new_replica.finish_load(self.now(), self.runtime.unix_ms());
+        *self.replication.replica.borrow_mut() = new_replica;
         self.replication.is_loaded.set(true);
-        self.replication.record_current_at(began);
+        self.replication.record_current_at(load_started_at);
         self.on_replica_loaded();
         Ok(())
     }
 
-    /// Passes a newly loaded replica on to all that depends on it.
+    /// Notifies everything that depends on the replica that it was loaded.
     fn on_replica_loaded(&self) {
         if self.quota.is_none() && self.replication.replica.borrow().has_quota_settings {
             tracing::warn!("quotas are in force, but not enabled at this controller");
         }
         self.prune_quota_attempts();
         self.resync_leader();
-        self.leadership.record_changed.set();
+        self.leadership.leader_record_changed.set();
         self.replication.advanced.notify_all();
     }
 
-    /// After a reload the leader looks at every job once more.
+    /// Passes every job to the leader again, if this controller leads: changes made before the reload may have been
+    /// missed.
     fn resync_leader(&self) {
         let now = self.now();
         let replica = self.replication.replica.borrow();
         if let Some(leader) = self.leadership.leader.borrow_mut().as_mut() {
             for (id, job) in &replica.jobs {
-                // One that is over may still be on machines, and count there.
+                // A job that has ended may still occupy machines and count against its team's limit.
                 leader.add_stored_job(id, job, now);
                 if job.dependency_cancelled {
                     leader.on_dependency_cancelled(id);
@@ -146,13 +148,13 @@
         self.leadership.round_due.set();
     }
 
-    /// Applies changes as they come, until the store no longer keeps those that follow the replica's revision.
+    /// Applies changes as the store reports them, until the store no longer keeps those after the replica's revision.
     async fn watch_changes(&self) {
         let mut timeout_s = WATCH_S;
         loop {
             let Some(outcome) = self.watch_once(timeout_s).await else {
-                // Somebody waits for a revision that may be of others' keys: no change of ours
-                // would ever show it, so a short watch confirms the revision even if nothing came.
+                // A routine waits for a revision that may be a change of keys that are not watched. No
+                // watched change ever shows that revision, but the answer to a short watch does when it times out.
                 timeout_s = STALE_WATCH_S * RESTARTED_WATCH_SHARE;
                 continue;
             };
@@ -168,24 +170,24 @@
         }
     }
 
-    /// One watch; None if it was ended by [`Replication::restart_watch`].
+    /// Watches the store once; None if the watch was ended by [`Replication::restart_watch`].
     async fn watch_once(&self, timeout_s: f64) -> Option<Result<WatchOutcome, StoreError>> {
-        let after = self.replication.replica.borrow().revision;
+        let after_revision = self.replication.replica.borrow().revision;
         self.replication.restart_watch.clear();
-        let watch = std::pin::pin!(self.store.watch(keys::ROOT, after, timeout_s));
+        let watch = std::pin::pin!(self.store.watch(keys::ROOT, after_revision, timeout_s));
         match select(watch, self.replication.restart_watch.wait()).await {
             Either::Left((outcome, _)) => Some(outcome),
             Either::Right(_) => None,
         }
     }
 
-    /// Applies the changes of a watch, then waits a little for more.
+    /// Applies the changes reported by a watch, then pauses so that the next changes come in a batch.
     async fn on_watch_events(&self, events: &Events) {
         self.replication.record_store_contact(self.now());
         self.apply_events(events);
-        // A short gap batches the changes, unless somebody waits for them.
-        let gap = self.runtime.sleep(WATCH_BATCH_S);
-        select(gap, self.replication.end_batching.wait()).await;
+        // The pause ends early if a routine waits for changes.
+        let pause = self.runtime.sleep(WATCH_BATCH_S);
+        select(pause, self.replication.end_batching.wait()).await;
         self.replication.end_batching.clear();
     }
 }
--- a/src/controller/replication/read_barriers.rs
+++ b/src/controller/replication/read_barriers.rs
@@ -1,5 +1,5 @@
-//! Read barriers: an answer that is not final waits until the replica shows all that the store held when the request
-//! came. Requests that wait share one read of the store's revision.
+//! Read barriers: a request whose answer may still change waits until the replica holds all that was stored when the
+//! request arrived. Waiting requests share one read of the store's revision.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,45 +10,46 @@
 use crate::runtime::Signal;
 use crate::store::keys;
 
-/// A watch that has not shown a revision known to exist for so long, in seconds, is restarted.
+/// Time after which a watch is restarted if it has not reported a revision that is known to exist, in seconds.
 pub(crate) const STALE_WATCH_S: f64 = 0.4;
 
 /// Why a read barrier was not passed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ReadBarrierError {
-    /// Too many requests wait already.
+    /// [`READ_WAITERS_MAX`] requests wait already.
     #[error("too many requests wait for a read barrier")]
     TooManyWaiting,
     /// The revision of the store could not be read.
     #[error("the revision of the state service could not be read")]
     StoreUnavailable,
-    /// The replica has not reached the revision in time.
+    /// The replica did not reach the revision within [`READ_TIMEOUT_S`].
     #[error("the replica has not reached the revision in time")]
     ReplicaBehind,
-    /// The barrier took longer than a request may wait, perhaps as the process was paused.
+    /// The barrier took longer than [`READ_TIMEOUT_S`], for example because the process was paused.
     #[error("the read barrier timed out")]
     TimedOut,
 }
 
-/// Whether a read barrier was passed.
+/// `Ok` if a read barrier was passed.
 pub(crate) type ReadBarrierResult = Result<(), ReadBarrierError>;
 
 /// The requests that wait for a read barrier.
 #[derive(Default)]
 pub(crate) struct ReadBarriers {
-    /// Begins a read barrier, for those that wait or for the leader's proof that its replica is current.
+    /// Set to start a read barrier: for waiting requests, or for the leader, whose term is trusted only while its
+    /// replica is known to be current.
     pub requested: Signal,
-    /// Those that came since the last barrier began.
+    /// The requests that arrived since the last read barrier started.
     waiting: RefCell<Vec<oneshot::Sender<ReadBarrierResult>>>,
 }
 
 impl Controller {
-    /// Waits until the replica shows all that was in the store when this call began.
+    /// Waits until the replica holds all that was stored when this call began.
     pub(crate) async fn read_barrier(&self) -> ReadBarrierResult {
         if self.read_barriers.waiting.borrow().len() >= READ_WAITERS_MAX {
             return Err(ReadBarrierError::TooManyWaiting);
         }
-        let began = self.now();
+        let started_at = self.now();
         let (sender, receiver) = oneshot::channel();
         self.read_barriers.waiting.borrow_mut().push(sender);
         self.read_barriers.requested.set();
@@ -56,23 +57,23 @@
             return Err(ReadBarrierError::TimedOut);
         };
         result?;
-        // A result from before a pause of this process is too old for an answer sent after it.
-        if self.now() - began <= READ_TIMEOUT_S {
+        // If this process was paused after the read, the result is too old for an answer that is sent now.
+        if self.now() - started_at <= READ_TIMEOUT_S {
             Ok(())
         } else {
             Err(ReadBarrierError::TimedOut)
         }
     }
 
-    /// Serves the requests that wait, all that came before a read of the store's revision by that read.
+    /// Runs read barriers: each read of the store's revision serves all requests that arrived before it.
     pub(crate) async fn serve_read_barriers(self: Rc<Self>) {
         loop {
             self.read_barriers.requested.take().await;
             let waiting = self.read_barriers.waiting.take();
-            let began = self.now();
+            let started_at = self.now();
             let result = self.catch_up_with_store().await;
             if result.is_ok() {
-                self.replication.record_current_at(began);
+                self.replication.record_current_at(started_at);
             }
             for sender in waiting {
                 let _ = sender.send(result);
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Waits until the replica has reached a revision.
+    /// Waits until the replica has reached a revision, but at most for [`READ_TIMEOUT_S`].
     pub(crate) async fn wait_for_revision(&self, revision: u64) -> ReadBarrierResult {
         let deadline = self.now() + READ_TIMEOUT_S;
         loop {
@@ -105,11 +106,11 @@
             if now >= deadline {
                 return Err(ReadBarrierError::ReplicaBehind);
             }
-            let next = self.replication.advanced.notified();
+            let advanced = self.replication.advanced.notified();
             self.replication.end_batching.set();
             let timeout_s = STALE_WATCH_S.min(deadline - now);
-            if self.runtime.timeout(timeout_s, next).await.is_err() {
-                // The watch may hang in a partition without an error.
+            if self.runtime.timeout(timeout_s, advanced).await.is_err() {
+                // During a network partition a watch may hang without an error.
                 self.replication.restart_watch.set();
             }
         }
--- a/src/controller/replication/replica_events.rs
+++ b/src/controller/replication/replica_events.rs
@@ -1,4 +1,4 @@
-//! Changes of the store, applied to the replica and passed on to the leader.
+//! Application of the store's changes to the replica, from which they are passed on to the leader.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use crate::store::replica::{ReplicaEvent, StateReplica};
 
 impl Controller {
-    /// Applies the changes of a watch.
+    /// Applies the changes reported by a watch.
     pub(crate) fn apply_events(&self, events: &Events) {
         let now = self.now();
         let mut replica = self.replication.replica.borrow_mut();
@@ -21,8 +21,8 @@
                 (None, Some(key)) => (key, None),
                 (None, None) => continue,
             };
-            if let Some(change) = replica.apply(key, value, event.revision) {
-                self.on_replica_event(change, &mut replica, leader.as_mut(), now);
+            if let Some(replica_event) = replica.apply(key, value, event.revision) {
+                self.on_replica_event(replica_event, &mut replica, leader.as_mut(), now);
             }
             self.on_readiness_changes(&mut replica, leader.as_mut(), now);
         }
@@ -32,7 +32,7 @@
         self.replication.advanced.notify_all();
     }
 
-    /// Passes a change on to the leader, if this controller leads.
+    /// Passes a change of the replica on: to the leader if this controller leads, to the elections and the forecast.
     fn on_replica_event(
         &self,
         event: ReplicaEvent,
@@ -50,7 +50,7 @@
                     self.leadership.round_due.set();
                 }
             }
-            ReplicaEvent::Leader => self.leadership.record_changed.set(),
+            ReplicaEvent::Leader => self.leadership.leader_record_changed.set(),
             ReplicaEvent::StepDownRequest(request) => {
                 if let Some(leader) = leader
                     && leader.fencing_token == request.fencing_token
@@ -69,7 +69,7 @@
         }
     }
 
-    /// A job was stored, or its record was deleted.
+    /// Handles a job that was stored, or whose record was deleted.
     fn on_job_change(
         &self,
         replica: &mut StateReplica,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Jobs became ready to run, or were cancelled as a dependency is.
+    /// Handles jobs that became ready, and jobs that are cancelled because a dependency is.
     fn on_readiness_changes(
         &self,
         replica: &mut StateReplica,
