--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,5 +1,5 @@
-//! A controller process: asynchronous routines that do the input and output for state machines without any, such as
-//! `Leader` and `StateReplica`.
+//! A controller process: asynchronous routines that perform all input and output, around state machines that perform
+//! none, such as `Leader` and `StateReplica`.
 //!
 //! `Controller` only composes the state of its parts; each module owns one part and the routines that serve it.
 
@@ -46,7 +46,7 @@
 const EVICTABLE_IDLE_HEARTBEATS: f64 = 1.5;
 /// Value of `Retry-After` in answers to requests that can't be served at the moment, in seconds.
 const RETRY_S: u32 = 1;
-/// Maximum number of requests that wait for a read barrier at once, and of heartbeats that wait for the check of a
+/// Maximum number of requests that wait for the next read barrier, and of heartbeats that wait for the check of a
 /// delegation.
 const READ_WAITERS_MAX: usize = 256;
 /// Time limit of a read barrier, in seconds. Users wait 2 s for the answer to a poll.
@@ -95,13 +95,14 @@
     runtime: Runtime,
     /// The settings; they don't change while the process runs.
     config: Rc<Config>,
-    /// Random number of this process. It tells the writes of this process from those of earlier processes of the host.
+    /// Random number of this process. It distinguishes the writes of this process from those of earlier processes of the
+    /// host.
     incarnation: u64,
     /// Client of the state service.
     store: StoreClient,
     /// Client of the cloud.
     cloud: CloudApi,
-    /// The replica of the store, and up to when it is current.
+    /// The replica of the store, and the time up to which it is current.
     replication: Replication,
     /// The requests that wait until the replica is current.
     read_barriers: ReadBarriers,
@@ -208,13 +209,13 @@
         for peer in &self.config.peers {
             let controller = self.clone();
             let last_reported = RefCell::new(String::new());
-            let source =
+            let heartbeat_source =
                 Box::new(move || controller.peer_heartbeat(&mut last_reported.borrow_mut()));
             scope.spawn(peers::send_heartbeats(
                 self.runtime.clone(),
                 peer.clone(),
                 interval_s,
-                source,
+                heartbeat_source,
             ));
         }
     }
@@ -243,6 +244,7 @@
 
     /// The next heartbeat to another controller. Workers are reported page by page: `last_reported` is the last machine
     /// that was sent to that controller, empty before the first page, and advances to the last one of this heartbeat.
+    /// After the last page it is empty again, and the pages start over.
     fn peer_heartbeat(&self, last_reported: &mut String) -> PeerHeartbeat {
         let now = self.now();
         let lease_s = self.config.deployment.workers.lease_s;
--- a/src/controller/leading/cloud_calls.rs
+++ b/src/controller/leading/cloud_calls.rs
@@ -142,12 +142,17 @@
             CloudAnswer::NoCapacity
         }
         (CloudCall::Rent(rent, _), Ok((400, _))) => {
+            // Handled like missing capacity: other pools are tried instead of sending the same request again.
             tracing::warn!(?rent, "the cloud rejected a request as malformed");
             CloudAnswer::NoCapacity
         }
         (CloudCall::Delete(_), Ok((200, _))) => CloudAnswer::Deleted,
         (_, Ok((status, _))) => {
-            tracing::debug!(status, path, "call to the cloud refused");
+            tracing::debug!(
+                status,
+                path,
+                "the cloud answered a call with an unexpected status"
+            );
             CloudAnswer::Failed
         }
         (_, Err(error)) => {
--- a/src/controller/leading/direct_commands.rs
+++ b/src/controller/leading/direct_commands.rs
@@ -1,4 +1,5 @@
-//! Direct commands to workers: they fence off a former leader, and stop tasks without waiting for a heartbeat.
+//! Direct commands to workers: they fence off a former leader, and launch and stop tasks without waiting for a
+//! heartbeat.
 
 use std::rc::Rc;
 
@@ -11,8 +12,8 @@
 use crate::protocol::workers::{Command, DirectCommandRequest};
 use crate::runtime::Scope;
 
-/// Minimum interval between direct commands to one worker, in heartbeat intervals. It is also their time limit, within
-/// the bounds below.
+/// Minimum interval between direct commands to one worker, in heartbeat intervals; launches are sent without it. It is
+/// also the time limit of a direct command, within the bounds below.
 const INTERVAL_HEARTBEATS: f64 = 0.5;
 /// Minimum time limit of a direct command, in seconds.
 const TIMEOUT_S_MIN: f64 = 1.0;
@@ -53,7 +54,7 @@
 
     /// Whether any of these commands launches a task of a job that has ended: the job may be cancelled after the round
     /// that made the commands and before the connection to the worker is established.
-    fn starts_ended_job(&self, commands: &[Command]) -> bool {
+    fn launches_ended_job(&self, commands: &[Command]) -> bool {
         commands.iter().any(|command| match command {
             Command::Start { task, .. } => self.is_job_ended(task),
             Command::Stop { .. } | Command::Forget { .. } => false,
@@ -89,7 +90,7 @@
         let answer = client
             .call_if("POST", paths::COMMANDS, Some(&body), timeout_s, || {
                 self.trusted_fencing_token() == Some(fencing_token)
-                    && !self.starts_ended_job(&commands)
+                    && !self.launches_ended_job(&commands)
             })
             .await;
         match answer {
--- a/src/controller/leading/elections.rs
+++ b/src/controller/leading/elections.rs
@@ -21,7 +21,8 @@
 /// Delay of the campaigns of a controller that yields to its peers, in lease durations; see
 /// [`leadership::yields_to_peers`].
 const YIELD_LEASES: f64 = 0.3;
-/// Maximum interval between two checks whether there is a leader, in lease durations, before jitter.
+/// Interval between two checks for a vacant leadership, in lease durations, before jitter. A change of the leader's
+/// record triggers a check at once.
 const ELECTION_CHECK_LEASES: f64 = 0.1;
 
 /// How a term ended.
@@ -32,14 +33,15 @@
     Resigned,
 }
 
-/// Earliest time of this controller's next campaign.
+/// Decides when this controller campaigns.
 struct CampaignSchedule {
     /// No campaign before this time.
     not_before: Time,
     /// How long leadership must have been vacant before a campaign, in seconds; 0 unless this controller yields to its
     /// peers.
     yield_s: f64,
-    /// Since when leadership has been vacant and this controller able to campaign; None while that is not so.
+    /// Since when leadership has been vacant and this controller able to campaign; None if the last check found
+    /// otherwise.
     vacant_since: Option<Time>,
 }
 
@@ -134,6 +136,7 @@
         let renewal_interval_s = lease_duration_s / RENEWALS_PER_LEASE;
         let elected_at = self.now();
         loop {
+            // The fencing token is the revision of the election.
             if !is_leader_started && self.wait_for_revision(fencing_token).await.is_ok() {
                 self.replication.record_current_at(term.renewal_sent_at);
                 if let Some(leader) = self.new_leader(fencing_token) {
@@ -205,6 +208,8 @@
         );
         leader.unix_ms_at_start =
             Some(self.runtime.unix_ms().saturating_sub((now * 1000.0) as u64));
+        // A direct command to each known worker fences off a former leader there, and its reply carries the worker's
+        // heartbeat.
         for worker in self.known_workers(now) {
             leader.fleet.request_contact(
                 &worker.machine,
--- a/src/controller/leading/leadership_state.rs
+++ b/src/controller/leading/leadership_state.rs
@@ -16,7 +16,8 @@
     /// The term that this controller holds, if any. It may act as the leader only while the term is trusted, see
     /// [`Controller::trusted_fencing_token`].
     pub term: Cell<Option<LeaderTerm>>,
-    /// The leader's state machine; None until the replica has reached the revision of the election.
+    /// The leader's state machine; None without a term, and until the replica has reached the revision of the election
+    /// and holds the machine types.
     pub leader: RefCell<Option<Leader>>,
     /// Set when the leader's record in the store changes.
     pub leader_record_changed: Signal,
@@ -24,7 +25,10 @@
     pub resign: Signal,
     /// Set when the leader's next round is due.
     pub round_due: Signal,
-    /// Notifies at the end of each round, when the round has placed tasks and stored its decisions.
+    /// Notifies at the end of each round, when the round has placed tasks and has stored its decisions as far as the
+    /// state service and [`ROUND_TRANSACTIONS_MAX`] allowed.
+    ///
+    /// [`ROUND_TRANSACTIONS_MAX`]: crate::controller::leading::leader_loop::ROUND_TRANSACTIONS_MAX
     pub round_completed: Notify,
     /// Set when calls to the cloud may be due.
     pub cloud_calls_due: Signal,
@@ -32,7 +36,8 @@
 
 impl LeadershipState {
     /// Runs `f` on the leader's state machine of the term with this fencing token, even if the term is not trusted at
-    /// this moment. For the outcomes of earlier actions; new actions need [`Controller::with_leader`].
+    /// this moment. Only for recording the outcomes of earlier actions: new actions go through
+    /// [`Controller::with_leader`].
     pub fn with_leader_of_term<T>(
         &self,
         fencing_token: u64,
--- a/src/controller/leading/machine_types.rs
+++ b/src/controller/leading/machine_types.rs
@@ -11,7 +11,8 @@
 use crate::store::keys;
 use crate::store::transaction::TxnOutcome;
 
-/// Maximum pause between two attempts, in heartbeat intervals of the workers, before jitter shortens it.
+/// Maximum pause between two attempts to load the machine types, in heartbeat intervals of the workers, before jitter
+/// shortens it.
 const ATTEMPT_PAUSE_HEARTBEATS: f64 = 0.25;
 
 impl Controller {
@@ -34,7 +35,7 @@
             {
                 let bytes_max = self.config.deployment.state.value_kb * 1024.0;
                 let is_storable = value.get().len() as f64 <= bytes_max;
-                let txn = creation_of_types(value);
+                let txn = machine_types_creation(value);
                 if !is_storable || self.write_for_user(&txn).await == TxnOutcome::TooLarge {
                     // The types are too large to be stored, so each controller requests them itself.
                     self.replication.replica.borrow_mut().machine_types = Some(Rc::new(types));
@@ -46,8 +47,8 @@
     }
 }
 
-/// Creates the record of the machine types, if it is absent.
-fn creation_of_types(value: Box<serde_json::value::RawValue>) -> Txn {
+/// The transaction that creates the record of the machine types, unless another controller has created it.
+fn machine_types_creation(value: Box<serde_json::value::RawValue>) -> Txn {
     Txn {
         conditions: vec![Condition {
             key: keys::machine_types(),
--- a/src/controller/replication.rs
+++ b/src/controller/replication.rs
@@ -36,7 +36,7 @@
     pub restart_watch: Signal,
     /// When the state service last answered; None if it never did.
     store_contact_at: Cell<Option<Time>>,
-    /// The latest time for which the replica is known to hold all that was stored then; None before the first load.
+    /// The replica is known to hold all that was stored at this time; None before the first load.
     pub current_at: Cell<Option<Time>>,
 }
 
@@ -105,8 +105,8 @@
             // changes made during the load, charges are missing.
             ledger.read_until(last_revision);
         }
-        let known_types = self.replication.replica.borrow().machine_types.clone();
-        new_replica.machine_types = new_replica.machine_types.or(known_types);
+        let known_machine_types = self.replication.replica.borrow().machine_types.clone();
+        new_replica.machine_types = new_replica.machine_types.or(known_machine_types);
         new_replica.finish_load(self.now(), self.runtime.unix_ms());
         *self.replication.replica.borrow_mut() = new_replica;
         self.replication.is_loaded.set(true);
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    /// Notifies everything that depends on the replica that it was loaded.
+    /// Brings everything that depends on the replica up to date after a load.
     fn on_replica_loaded(&self) {
         if self.quota.is_none() && self.replication.replica.borrow().has_quota_settings {
             tracing::warn!("quotas are in force, but not enabled at this controller");
@@ -153,8 +153,9 @@
         let mut timeout_s = WATCH_S;
         loop {
             let Some(outcome) = self.watch_once(timeout_s).await else {
-                // A routine waits for a revision that may be a change of keys that are not watched. No
-                // watched change ever shows that revision, but the answer to a short watch does when it times out.
+                // A routine waits for a revision that the watch has not reported. If that revision changed only keys
+                // that are not watched, no event ever shows it. The answer to a watch without events does, and a
+                // short watch returns that answer soon.
                 timeout_s = STALE_WATCH_S * RESTARTED_WATCH_SHARE;
                 continue;
             };
--- a/src/controller/replication/read_barriers.rs
+++ b/src/controller/replication/read_barriers.rs
@@ -16,7 +16,7 @@
 /// Why a read barrier was not passed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ReadBarrierError {
-    /// [`READ_WAITERS_MAX`] requests wait already.
+    /// [`READ_WAITERS_MAX`] requests already wait for the next read barrier.
     #[error("too many requests wait for a read barrier")]
     TooManyWaiting,
     /// The revision of the store could not be read.
--- a/src/controller/replication/replica_events.rs
+++ b/src/controller/replication/replica_events.rs
@@ -1,4 +1,4 @@
-//! Application of the store's changes to the replica, from which they are passed on to the leader.
+//! Application of the store's changes to the replica, and their delivery to the leader, the elections and the forecast.
 
 use std::rc::Rc;
 
@@ -32,7 +32,7 @@
         self.replication.advanced.notify_all();
     }
 
-    /// Passes a change of the replica on: to the leader if this controller leads, to the elections and the forecast.
+    /// Delivers a change of the replica to the leader, if this controller leads, to the elections and to the forecast.
     fn on_replica_event(
         &self,
         event: ReplicaEvent,
--- a/src/controller/socket_budget.rs
+++ b/src/controller/socket_budget.rs
@@ -28,6 +28,7 @@
 /// are free.
 pub(super) fn front_sockets(config: &Config) -> usize {
     let sockets = config.deployment.limits.max_sockets;
+    // At most `LINKS_PER_PEER` accepted links for each known peer, and the one that this controller opens to it.
     let peer_links_max = config.peers.len() * (peers::LINKS_PER_PEER + 1);
     let calls_max =
         direct_commands_max(config) + USER_WRITES_MAX + SERVICE_CLIENTS * http::IDLE_MAX;
