--- a/src/controller/admission/quota_admission.rs
+++ b/src/controller/admission/quota_admission.rs
@@ -1,7 +1,7 @@
-//! Admission quotas at a controller: jobs are created within its allotments of the teams' quotas.
+//! Admission of jobs: a controller creates jobs within its allotments of the teams' quotas.
 //!
-//! Units move between controllers in [`crate::controller::admission::quota_transfers`]; [`crate::controller::admission::quota_presence`] shows that this controller
-//! is alive.
+//! [`crate::controller::admission::quota_transfers`] moves units between controllers;
+//! [`crate::controller::admission::quota_presence`] shows the leader that this controller is alive.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 
 use crate::admission_quota::store_mapping::charge_of;
 use crate::config::Config;
-use crate::controller::users::submissions::Creation;
+use crate::controller::users::submissions::CreationOutcome;
 use crate::controller::{Controller, RETRY_S};
 use crate::http::Response;
 use crate::peers::Shortages;
@@ -20,43 +20,43 @@
 use crate::runtime::{Notify, Signal, TokenBucket};
 use crate::store::replica::{ReplicatedJob, StateReplica};
 
-/// Most attempts to create a job: an allotment that changed meanwhile refuses one.
+/// Maximum number of attempts to create a job: an attempt fails if the allotment changes at the same time.
 const CREATION_ATTEMPTS_MAX: u32 = 3;
-/// Most charges kept of a team's submissions that wait for units.
+/// Maximum number of charges kept for a team's submissions that wait for units.
 const WAITING_CHARGES_MAX: usize = 16;
-/// How long a submission waits for units to be transferred, in seconds.
+/// Longest time that a submission waits for a transfer of units, in seconds.
 const TRANSFER_WAIT_S: f64 = 0.6;
-/// Share of a controller's part of the store's write limit for transfers that no submission waits for.
+/// Share of this controller's part of the store's write limit that transfers may take for which no submission waits.
 const BACKGROUND_TRANSFER_SHARE: f64 = 0.25;
-/// Most shortages reported in one heartbeat to another controller.
+/// Maximum number of shortages reported in one heartbeat to another controller.
 const SHORTAGES_MAX: usize = 64;
-/// Answer while no quotas are in force, or others than those of the settings.
+/// Answer while no quotas are in force, or quotas that differ from this controller's features file.
 const NOT_IN_FORCE: &str = "quotas are not in force";
-/// Answer when the team's quota has no room for the job at present.
-const USED_UP: &str = "the team's quota is used up";
-/// Answer when the job alone exceeds the quota of its team.
-const ABOVE_QUOTA: &str = "more than the team's quota";
+/// Answer when the team's quota has too few free units for the job at present.
+const QUOTA_EXHAUSTED: &str = "the team's quota is used up";
+/// Answer when the job alone exceeds the largest quota that its team can have.
+const EXCEEDS_QUOTA: &str = "the job exceeds the team's quota";
 
-/// What a controller keeps for quotas.
+/// The state of admission quotas at a controller.
 pub(crate) struct QuotaAdmission {
-    /// Admits jobs to this controller's allotments.
+    /// Decides which jobs are admitted to this controller's allotments.
     pub admissions: RefCell<Admissions>,
-    /// What the leader keeps to reclaim and hand out units.
+    /// Plans the transfers that only the leader makes; unused while this controller does not lead.
     pub supervisor: RefCell<Supervisor>,
     /// The charges of submissions that wait for units, by team.
     pub waiting_charges: RefCell<BTreeMap<Rc<str>, Vec<QuotaAmount>>>,
-    /// Begins a round of transfers.
+    /// Set when a round of transfers is due.
     pub transfers_due: Signal,
-    /// Notifies when a transfer that submissions wait for was settled.
+    /// Notifies when a transfer that submissions wait for has been made or has failed.
     pub transfer_settled: Notify,
     /// Paces the transfers that no submission waits for.
     pub background_rate: TokenBucket,
-    /// Whether the quotas of this controller's file were ever in force.
-    were_in_force: Cell<bool>,
+    /// Whether the quotas of this controller's features file have been in force since the process started.
+    have_been_in_force: Cell<bool>,
 }
 
 impl QuotaAdmission {
-    /// None if quotas are not enabled.
+    /// The state at the start of a process with this incarnation; None if quotas are not enabled.
     pub fn new(config: &Config, incarnation: u64) -> Option<Self> {
         let settings = config.features.quota.clone()?;
         let deployment = &config.deployment;
@@ -71,11 +71,11 @@
             transfers_due: Signal::default(),
             transfer_settled: Notify::default(),
             background_rate: TokenBucket::new(rate, rate),
-            were_in_force: Cell::new(false),
+            have_been_in_force: Cell::new(false),
         })
     }
 
-    /// Adds a charge to those that transfers are made for.
+    /// Adds the charge of a job to those that the next round of transfers obtains units for.
     fn request_transfer(&self, job: &Submission, charge: QuotaAmount) {
         let mut waiting = self.waiting_charges.borrow_mut();
         let charges = waiting.entry(job.team.as_str().into()).or_default();
@@ -84,20 +84,20 @@
         }
     }
 
-    /// Whether quotas other than those of this controller's file are in force.
+    /// Whether the store has quota settings that differ from this controller's features file.
     pub fn differs_from_store(&self, replica: &StateReplica) -> bool {
         let settings = replica.quota.as_ref().and_then(|ledger| ledger.settings());
         settings.is_some_and(|(record, _)| record.digest != self.admissions.borrow().digest())
     }
 }
 
-/// The incarnation by which the store knows an owner of allotments; 0 stands for no owner.
+/// The incarnation under which the store records an owner of allotments. 0 stands for no owner there, so it becomes 1.
 pub(crate) fn owner_incarnation(incarnation: u64) -> u64 {
     incarnation.max(1)
 }
 
 impl Controller {
-    /// A replica of nothing yet.
+    /// A replica with no keys yet, which keeps a ledger of quotas if they are enabled.
     pub(crate) fn empty_replica(&self) -> StateReplica {
         let mut replica = match &self.quota {
             Some(_) => StateReplica::with_quota(),
@@ -107,7 +107,8 @@
         replica
     }
 
-    /// After a change of the replica: drops the attempts that it shows to be settled.
+    /// Drops the attempts to create a job, and the transfers, that the replica shows to be settled. Called after each
+    /// change of the replica.
     pub(crate) fn prune_quota_attempts(&self) {
         let Some(quota) = &self.quota else {
             return;
@@ -121,8 +122,8 @@
         }
     }
 
-    /// Whether this controller and the store hold the same quotas, or none. At the start they must be in force too:
-    /// before that no submission can be taken.
+    /// Whether this controller and the store have the same quota settings, or neither has any. The settings must also have
+    /// been in force once since the process started: until then no submission can be admitted.
     pub(crate) fn quota_agrees(&self) -> bool {
         let replica = self.replication.replica.borrow();
         let Some(quota) = &self.quota else {
@@ -134,12 +135,12 @@
         };
         let is_same = record.digest == quota.admissions.borrow().digest();
         if is_same && record.open {
-            quota.were_in_force.set(true);
+            quota.have_been_in_force.set(true);
         }
-        is_same && quota.were_in_force.get()
+        is_same && quota.have_been_in_force.get()
     }
 
-    /// What this controller lacked lately, for the others.
+    /// The units that this controller lacked lately, reported to the other controllers.
     pub(crate) fn shortages(&self) -> Shortages {
         let Some(quota) = &self.quota else {
             return Vec::new();
@@ -149,7 +150,7 @@
         shortages
     }
 
-    /// Stores a new job within its team's quota; the answer to its user.
+    /// Stores a new job within its team's quota; returns the answer for its user.
     pub(crate) async fn create_within_quota(
         &self,
         quota: &QuotaAdmission,
@@ -160,26 +161,28 @@
         for _ in 0..CREATION_ATTEMPTS_MAX {
             match self.decide_admission(quota, job, charge) {
                 Decision::Admitted(attempt) => match self.create_job(job, Some(&attempt)).await {
-                    Creation::Answer(answer) => return answer,
-                    Creation::Conflict => {}
+                    CreationOutcome::Answer(answer) => return answer,
+                    CreationOutcome::Conflict => {}
                 },
                 Decision::NeedsRefill => self.wait_for_transfer(quota, job, charge).await,
-                Decision::Refused { retry_after_s: s } => {
-                    retry_after_s = s;
+                Decision::Refused {
+                    retry_after_s: estimate_s,
+                } => {
+                    retry_after_s = estimate_s;
                     break;
                 }
                 Decision::ExceedsQuota => {
-                    let refusal = Response::error(422, ABOVE_QUOTA);
+                    let refusal = Response::error(422, EXCEEDS_QUOTA);
                     return self.refuse_unless_known(job, refusal).await;
                 }
                 Decision::NotReady => return Response::retry_later(503, NOT_IN_FORCE, RETRY_S),
             }
         }
-        let refusal = Response::retry_later(429, USED_UP, retry_after_s.ceil() as u32);
+        let refusal = Response::retry_later(429, QUOTA_EXHAUSTED, retry_after_s.ceil() as u32);
         self.refuse_unless_known(job, refusal).await
     }
 
-    /// Decides on a submission by the replica's ledger of quotas.
+    /// Decides whether to admit a job, by the replica's ledger of quotas.
     fn decide_admission(
         &self,
         quota: &QuotaAdmission,
@@ -195,7 +198,8 @@
         admissions.decide(ledger, &job.id, &job.team, charge, self.now())
     }
 
-    /// Waits until a transfer of what is missing is settled.
+    /// Requests a transfer of units for a job, and waits until it has been made or has failed, for [`TRANSFER_WAIT_S`] at
+    /// most.
     async fn wait_for_transfer(
         &self,
         quota: &QuotaAdmission,
@@ -208,7 +212,7 @@
         let _ = self.runtime.timeout(TRANSFER_WAIT_S, settled).await;
     }
 
-    /// Records the outcome of an attempt to create a job that is charged to an allotment.
+    /// Records the outcome of an attempt to create a job; without effect for a job that is charged to no allotment.
     pub(crate) fn finish_attempt(&self, attempt: Option<&Attempt>, outcome: AttemptOutcome) {
         if let (Some(quota), Some(attempt)) = (&self.quota, attempt) {
             let mut admissions = quota.admissions.borrow_mut();
--- a/src/controller/admission/quota_presence.rs
+++ b/src/controller/admission/quota_presence.rs
@@ -1,4 +1,4 @@
-//! A controller's presence in the store, as an owner of allotments.
+//! A controller's presence in the store as an owner of allotments: a record attached to a lease.
 
 use std::rc::Rc;
 
@@ -12,23 +12,23 @@
 use crate::store::client::LeaseRenewal;
 use crate::store::transaction::TxnOutcome;
 
-/// Life of the presence's lease, in leases of the workers.
+/// Duration of the presence's lease, in leases of the workers.
 const PRESENCE_LEASES: f64 = 1.0;
-/// Renewals within the life of that lease.
+/// Number of renewals within the duration of that lease.
 const RENEWALS_PER_LEASE: f64 = 3.0;
 
-/// Whether the owner's record was stored.
+/// The result of writing the owner's record.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PresenceWrite {
-    /// It was stored, attached to the lease.
+    /// The record was stored, attached to the lease.
     Stored,
-    /// It was not stored, or whether it was is not known.
+    /// The record was not stored, or the outcome is unknown.
     NotStored,
 }
 
 impl Controller {
-    /// Keeps this controller's record in the store, attached to a lease: without it the leader may reclaim what
-    /// this controller was allotted.
+    /// Keeps this controller's record in the store, attached to a lease: without the record the leader may reclaim this
+    /// controller's allotments.
     pub(crate) async fn keep_quota_presence(self: Rc<Self>) {
         let lease_duration_s = self.config.deployment.workers.lease_s * PRESENCE_LEASES;
         loop {
@@ -45,15 +45,15 @@
         }
     }
 
-    /// Renews the lease until it expires or the record is gone.
+    /// Renews the lease until it has expired or the loaded replica no longer shows the record.
     async fn renew_presence(&self, lease: u64, lease_duration_s: f64) {
         loop {
             self.runtime
                 .sleep(lease_duration_s / RENEWALS_PER_LEASE)
                 .await;
             let renewal = self.store.renew_lease(lease).await;
-            let is_shown = !self.replication.is_loaded.get() || self.is_present();
-            if matches!(renewal, Ok(LeaseRenewal::Expired)) || !is_shown {
+            let is_record_kept = !self.replication.is_loaded.get() || self.is_present();
+            if matches!(renewal, Ok(LeaseRenewal::Expired)) || !is_record_kept {
                 return;
             }
         }
--- a/src/controller/admission/quota_transfers.rs
+++ b/src/controller/admission/quota_transfers.rs
@@ -10,27 +10,28 @@
 use crate::controller::{Controller, STORE_BACKOFF_S};
 use crate::store::transaction::TxnOutcome;
 
-/// Most attempts of a transfer that a submission waits for: one that meets another is refused.
+/// Maximum number of attempts of a transfer that a submission waits for: an attempt fails if another transfer changes the
+/// same accounts at the same time.
 const TRANSFER_ATTEMPTS_MAX: u32 = 4;
 /// Longest interval between two rounds of transfers, in seconds.
 const TRANSFER_INTERVAL_S: f64 = 1.0;
 
-/// Whether units that submissions wait for were transferred.
+/// The result of a transfer that submissions wait for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum TransferResult {
     /// The units are in this controller's allotment.
     Transferred,
-    /// There are not enough, or too many transfers met.
+    /// There are not enough units, or each attempt failed.
     NotTransferred,
 }
 
 impl Controller {
-    /// Transfers units: first what submissions wait for, then what others asked for and what is idle.
+    /// Transfers units: first those that submissions wait for, then those that other controllers requested or that are idle.
     pub(crate) async fn transfer_quota(self: Rc<Self>) {
         let Some(quota) = &self.quota else {
             return;
         };
-        let mut has_differed = false;
+        let mut differed_before = false;
         loop {
             {
                 let due = std::pin::pin!(quota.transfers_due.wait());
@@ -39,16 +40,16 @@
             quota.transfers_due.clear();
             self.record_shortages_of_peers(quota);
             let differs = quota.differs_from_store(&self.replication.replica.borrow());
-            if differs && !has_differed {
-                tracing::warn!("the quotas in force are not those of this controller's file");
+            if differs && !differed_before {
+                tracing::warn!("the quotas in force differ from this controller's features file");
             }
-            has_differed = differs;
+            differed_before = differs;
             self.transfer_to_submissions(quota).await;
             self.transfer_in_background(quota).await;
         }
     }
 
-    /// Takes in what the other controllers lack.
+    /// Records the shortages that the other controllers reported as requests for units.
     fn record_shortages_of_peers(&self, quota: &QuotaAdmission) {
         let mut admissions = quota.admissions.borrow_mut();
         for (node, shortages) in self.peers.take_shortages() {
@@ -58,17 +59,17 @@
         }
     }
 
-    /// Transfers what submissions wait for.
+    /// Transfers the units that submissions wait for.
     async fn transfer_to_submissions(&self, quota: &QuotaAdmission) {
         loop {
             let Some((team, charges)) = quota.waiting_charges.borrow_mut().pop_first() else {
                 return;
             };
-            let sum = charges
+            let total = charges
                 .iter()
-                .fold(QuotaAmount::ZERO, |sum, charge| sum + *charge);
-            // If there isn't enough for all of them, there may be for one.
-            for amount in [sum].into_iter().chain(charges) {
+                .fold(QuotaAmount::ZERO, |total, charge| total + *charge);
+            // If there are too few units for all submissions, there may be enough for one of them.
+            for amount in [total].into_iter().chain(charges) {
                 let result = self.transfer_to_team(quota, &team, amount).await;
                 if result == TransferResult::Transferred {
                     break;
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Transfers an amount to this controller's allotment of a team, if there is enough. A transfer that met another one
-    /// is made anew.
+    /// Transfers an amount to this controller's allotment of a team, if there are enough units. A failed attempt is planned
+    /// anew.
     async fn transfer_to_team(
         &self,
         quota: &QuotaAdmission,
@@ -100,7 +101,7 @@
         TransferResult::NotTransferred
     }
 
-    /// Plans a transfer to this controller's allotment of a team; None if there is not enough.
+    /// Plans a transfer to this controller's allotment of a team; None if the replica is not loaded or shows too few units.
     fn plan_transfer(
         &self,
         quota: &QuotaAdmission,
@@ -114,7 +115,8 @@
         transfer::refill(ledger, &admissions, team, amount, self.now())
     }
 
-    /// Makes the transfers that no submission waits for, as far as their share of the writes reaches.
+    /// Makes the transfers that no submission waits for, until their share of the writes is used up or a submission waits
+    /// for units.
     async fn transfer_in_background(&self, quota: &QuotaAdmission) {
         while let Some(plan) = self.next_background_plan(quota) {
             let writes = plan.changes.len() as f64;
@@ -126,7 +128,7 @@
         }
     }
 
-    /// The next transfer that no submission waits for, if there is one.
+    /// Plans the next transfer that no submission waits for; None if there is none to make.
     fn next_background_plan(&self, quota: &QuotaAdmission) -> Option<Plan> {
         if !self.replication.is_loaded.get() {
             return None;
@@ -148,7 +150,7 @@
             .or_else(|| transfer::release_unused(ledger, &mut admissions, now))
     }
 
-    /// Sends a transfer, and waits until the replica shows what became of it.
+    /// Sends a transfer, and waits until the replica shows its outcome; after a refusal, for a backoff.
     async fn execute_plan(&self, quota: &QuotaAdmission, plan: &Plan) -> TxnOutcome {
         let Ok(txn) = transaction_of(plan, self.trusted_fencing_token()) else {
             return TxnOutcome::Refused;
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -1,4 +1,4 @@
-//! What users are served: submissions, queries, cancellations, and the writes made for them.
+//! Requests of users: submissions, queries and cancellations, with the checks and store writes that they need.
 
 pub(crate) mod cancellations;
 pub(crate) mod job_creation;
--- a/src/controller/users/cancellations.rs
+++ b/src/controller/users/cancellations.rs
@@ -12,8 +12,11 @@
 use crate::store::replica::ReplicatedJob;
 use crate::store::transaction::TxnOutcome;
 
+/// Answer when the cancellation may not have been stored.
+const CANCELLATION_UNCONFIRMED: &str = "the state service did not confirm the cancellation";
+
 impl Controller {
-    /// Answers a cancellation: its end is created in the store, unless the job has ended before.
+    /// Answers a cancellation: records in the store that the job ended as cancelled, unless it has ended already.
     pub(crate) async fn cancel(&self, id: &str) -> Response {
         if !is_job_id(id) {
             return Response::error(404, "no such job");
@@ -38,21 +41,24 @@
             ended_unix_ms: Some(self.runtime.unix_ms()),
         };
         let Ok(value) = to_raw_value(&record) else {
-            return Response::error(500, "not storable");
+            return Response::error(500, "the record of the job's end can't be encoded");
         };
-        let txn = create_end(id, job_revision, value);
+        let txn = end_creation(id, job_revision, value);
         match self.write_for_user(&txn).await {
             TxnOutcome::Applied(_) => job_answer(id, &ReplicatedJob::ended(record)),
-            TxnOutcome::Conflict(_) if self.read_barrier().await.is_ok() => self
-                .final_state(id)
-                .unwrap_or_else(|| Response::retry_later(503, "changing", RETRY_S)),
-            _ => Response::retry_later(503, "could not be stored now", RETRY_S),
+            TxnOutcome::Conflict(_) if self.read_barrier().await.is_ok() => {
+                self.final_state(id).unwrap_or_else(|| {
+                    Response::retry_later(503, "the job's record is changing", RETRY_S)
+                })
+            }
+            _ => Response::retry_later(503, CANCELLATION_UNCONFIRMED, RETRY_S),
         }
     }
 }
 
-/// Creates a job's end, if its record is as it was read.
-fn create_end(id: &str, job_revision: u64, value: Box<RawValue>) -> Txn {
+/// The transaction that creates the record of a job's end, provided that the job has no such record yet and that its own
+/// record still has the revision at which it was read.
+fn end_creation(id: &str, job_revision: u64, value: Box<RawValue>) -> Txn {
     Txn {
         conditions: vec![
             Condition {
--- a/src/controller/users/job_creation.rs
+++ b/src/controller/users/job_creation.rs
@@ -10,24 +10,24 @@
 use crate::store::keys;
 use crate::store::records::JobRecord;
 
-/// Most bytes of a transaction, as the protocol says.
+/// Maximum size of a transaction in bytes, set by the protocol of the state service.
 const TXN_BYTES_MAX: usize = 64 * 1024;
-/// Bytes that a string takes in a JSON list beside its characters: quotes and a comma.
-const LIST_ITEM_BYTES: usize = 3;
+/// Overhead of a string in a JSON list, in bytes: two quotes and a comma.
+const LIST_ITEM_OVERHEAD_BYTES: usize = 3;
 
-/// Why a job can't be stored.
+/// Why no transaction can be made for a job.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum JobCreationError {
-    /// A record has no JSON form.
-    #[error("record not encodable: {0}")]
+    /// A record can't be encoded as JSON.
+    #[error("the job's record can't be encoded: {0}")]
     Encode(#[from] serde_json::Error),
-    /// The job exceeds a limit of the state service, even in parts.
+    /// The job exceeds a limit of the state service, even with its dependencies split over several values.
     #[error("the job exceeds a limit of the state service")]
     TooLarge,
 }
 
-/// Stores a job, if neither it nor its end is there. Of one that depends on more jobs than fit into a value the rest is
-/// stored in other values, together with it.
+/// The transaction that stores a job, provided that the store has neither the job nor its end. If the job's dependencies
+/// don't fit into one value with its record, the same transaction stores them in values of their own.
 pub(crate) fn job_creation(
     job: &Submission,
     accepted_at_ms: u64,
@@ -57,22 +57,25 @@
     if values.iter().any(is_value_too_large) || values.len() > limits.txn_ops {
         return Err(JobCreationError::TooLarge);
     }
-    let txn = create_values(&job.id, values);
+    let txn = records_creation(&job.id, values);
     if serde_json::to_vec(&txn)?.len() > TXN_BYTES_MAX {
         return Err(JobCreationError::TooLarge);
     }
     Ok(txn)
 }
 
-/// Splits ids into lists that take at most `bytes_max` bytes each when they are written.
+/// Splits ids into lists that each take at most `bytes_max` bytes as JSON.
 fn split_ids(ids: &[String], bytes_max: usize) -> Vec<&[String]> {
-    let longest = ids.iter().map(|id| id.len() + LIST_ITEM_BYTES).max();
-    let per_part = bytes_max.saturating_sub(2) / longest.unwrap_or(1);
-    ids.chunks(per_part.max(1)).collect()
+    let item_bytes_max = ids
+        .iter()
+        .map(|id| id.len() + LIST_ITEM_OVERHEAD_BYTES)
+        .max();
+    let ids_per_part = bytes_max.saturating_sub(2) / item_bytes_max.unwrap_or(1);
+    ids.chunks(ids_per_part.max(1)).collect()
 }
 
-/// Creates a job's records, if neither the job nor its end is there.
-fn create_values(id: &str, values: Vec<(String, Box<RawValue>)>) -> Txn {
+/// The transaction that creates a job's records, provided that the store has neither the job nor its end.
+fn records_creation(id: &str, values: Vec<(String, Box<RawValue>)>) -> Txn {
     let absent = |key| Condition { key, revision: 0 };
     Txn {
         conditions: vec![absent(keys::job(id)), absent(keys::job_end(id))],
--- a/src/controller/users/requests.rs
+++ b/src/controller/users/requests.rs
@@ -1,4 +1,5 @@
-//! Requests to the front: their routes, readiness, and queries for a job's state.
+//! Requests to the front, the controller's HTTP server for users, workers and the load balancer: routing, the readiness
+//! check, and queries for a job's state.
 
 use std::rc::Rc;
 
@@ -8,17 +9,17 @@
 use crate::protocol::paths;
 use crate::store::replica::ReplicatedJob;
 
-/// A controller is not ready when the state service has not answered it for so many heartbeat intervals of the workers
-/// while others have it.
+/// Number of the workers' heartbeat intervals without an answer from the state service after which a controller is not
+/// ready, provided that other controllers still reach the state service.
 const STORE_LOST_HEARTBEATS: f64 = 1.5;
-/// Greatest such time, in seconds.
+/// Upper bound of that time, in seconds.
 const STORE_LOST_S_MAX: f64 = 4.5;
 
-/// Answer when a job's state can't be read as current.
-pub(crate) const STATE_UNKNOWN: &str = "state not known now";
+/// Answer when no read barrier could be passed, so that the replica's state of a job may be out of date.
+pub(crate) const STATE_UNKNOWN: &str = "the job's current state can't be read";
 
 impl Controller {
-    /// Answers a request to the front.
+    /// Routes a request and answers it.
     pub(crate) async fn handle_request(self: Rc<Self>, request: Request) -> Response {
         let route = request.path.split('?').next().unwrap_or_default();
         match (request.method.as_str(), route) {
@@ -32,41 +33,42 @@
         }
     }
 
-    /// Answers a request for a job: a query or a cancellation.
+    /// Answers a request whose path names a job: a query or a cancellation.
     async fn handle_job_request(&self, method: &str, route: &str) -> Response {
-        let Some(rest) = route
+        let Some(job_path) = route
             .strip_prefix(paths::JOBS)
-            .and_then(|rest| rest.strip_prefix('/'))
+            .and_then(|path| path.strip_prefix('/'))
         else {
             return Response::error(404, "no such path");
         };
-        match (method, rest.strip_suffix(paths::CANCEL_SUFFIX)) {
+        match (method, job_path.strip_suffix(paths::CANCEL_SUFFIX)) {
             ("POST", Some(id)) => self.cancel(id).await,
-            ("GET", None) => self.query(rest).await,
+            ("GET", None) => self.query(job_path).await,
             _ => Response::error(405, "method not allowed"),
         }
     }
 
-    /// Whether the load balancer should send users here.
+    /// Answers the load balancer's readiness check: 200 if it should send users to this controller, else 503.
     pub(crate) fn readiness(&self) -> Response {
         let now = self.now();
         let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
         let within_s = (heartbeat_interval_s * STORE_LOST_HEARTBEATS).min(STORE_LOST_S_MAX);
-        let is_able = self.replication.is_loaded.get()
+        let is_initialized = self.replication.is_loaded.get()
             && self.replication.replica.borrow().machine_types.is_some();
         let has_store = self
             .replication
             .store_contact_age_s(now)
             .is_some_and(|age_s| age_s < within_s);
         let quota_agrees = self.quota_agrees();
-        // Without the state service users are no better off elsewhere, unless others have it, or may:
-        // a controller that gets no heartbeats from the others either is cut off.
+        // During an outage of the state service no controller serves users better than this one, so it stays ready. If
+        // another controller reaches the state service, users should go there. Without heartbeats from any of the others
+        // this controller is probably partitioned from them too, and the others may reach the state service.
         let is_outage = self.config.peers.is_empty()
             || self.peers.any_alive(now, within_s) && !self.peers.any_has_store(now, within_s);
-        if is_able && quota_agrees && (has_store || is_outage) {
+        if is_initialized && quota_agrees && (has_store || is_outage) {
             Response::json(200, &serde_json::json!({ "ready": true }))
         } else {
-            Response::retry_later(503, "not ready", RETRY_S)
+            Response::retry_later(503, "the controller is not ready", RETRY_S)
         }
     }
 
@@ -84,34 +86,35 @@
         self.current_state(id)
     }
 
-    /// The answer with a job's final state: it needs no read barrier, as an end never changes.
+    /// The answer with a job's state if the replica shows that the job has ended. No read barrier is needed, as an end
+    /// never changes.
     pub(crate) fn final_state(&self, id: &str) -> Option<Response> {
         let replica = self.replication.replica.borrow();
         let job = replica.jobs.get(id).filter(|j| j.has_ended())?;
         Some(job_answer(id, job))
     }
 
-    /// The answer with a job's state after a read barrier.
+    /// The answer with a job's state, or 404 if the job is not known. Call after a read barrier.
     pub(crate) fn current_state(&self, id: &str) -> Response {
         self.known_state(id)
             .unwrap_or_else(|| Response::error(404, "no such job"))
     }
 
-    /// The answer with a job's state after a read barrier, if it is known.
+    /// The answer with a job's state; None if the job is not known. Call after a read barrier.
     pub(crate) fn known_state(&self, id: &str) -> Option<Response> {
         let replica = self.replication.replica.borrow();
         let job = replica.jobs.get(id).filter(|j| j.is_known())?;
         Some(job_answer(id, job))
     }
 
-    /// Whether the replica has a job's record or its end.
+    /// Whether the replica has a job's record or the record of its end.
     pub(crate) fn is_known(&self, id: &str) -> bool {
         let replica = self.replication.replica.borrow();
         replica.jobs.get(id).is_some_and(ReplicatedJob::is_known)
     }
 }
 
-/// The answer with a job's state.
+/// The answer with the state of a job.
 pub(crate) fn job_answer(id: &str, job: &ReplicatedJob) -> Response {
     Response::json(200, &job.status(id))
 }
--- a/src/controller/users/submission_checks.rs
+++ b/src/controller/users/submission_checks.rs
@@ -1,4 +1,4 @@
-//! Checks of submissions that need nothing but the settings and the machine types.
+//! Checks of submissions that need only the settings and the machine types, not the store.
 
 use std::collections::BTreeSet;
 
@@ -7,83 +7,83 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobKind, Submission};
 
-/// Most tasks of a job, as the protocol says.
+/// Maximum number of tasks of a job, set by the protocol.
 const TASKS_MAX: u32 = 100_000;
-/// Most digits of a job's id.
+/// Maximum number of digits in a job's id.
 const ID_DIGITS_MAX: usize = 18;
-/// What a job's id begins with.
+/// Prefix of every job id.
 const ID_PREFIX: &str = "j-";
-/// Tolerance with which amounts are compared with a team's limit.
+/// Tolerance for rounding errors when a job's resources are compared with its team's limit.
 const AMOUNT_TOLERANCE: f64 = 1e-6;
 
-/// Why a submission is malformed. The texts are those of the answers to users.
+/// Why a submission is malformed. Users get these texts as the answer.
 #[derive(Debug, thiserror::Error)]
 pub enum SubmissionError {
-    /// It is no submission in JSON.
+    /// The body is not a submission in JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The job's id has another form.
+    /// The job's id doesn't have the form that [`is_job_id`] checks.
     #[error("Uid: not a job id")]
-    Id,
+    JobId,
     /// The number of tasks is out of range.
     #[error("Legs: not between 1 and {TASKS_MAX}")]
-    Tasks,
-    /// A text is empty.
+    TaskCount,
+    /// The field with this name is an empty string.
     #[error("{0}: is empty")]
-    Empty(&'static str),
-    /// An amount or a duration is negative or not finite.
+    EmptyString(&'static str),
+    /// The field with this name, an amount or a duration, is negative or not finite.
     #[error("{0}: negative or not finite")]
-    Number(&'static str),
-    /// What it depends on is no job id.
+    InvalidNumber(&'static str),
+    /// A dependency is not a job id.
     #[error("WaitsOn: {0} is not a job id")]
     DependencyId(String),
 }
 
-/// Why a job can never run. The texts are those of the answers to users.
+/// Why a job can never run. Users get these texts as the answer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Infeasibility {
-    /// The settings have no such team.
+    /// The settings don't have the job's team.
     #[error("unknown team {0}")]
     UnknownTeam(String),
-    /// No machine type that the job allows is large enough.
+    /// No machine type that the job allows is large enough for one of its tasks.
     #[error("a task fits no allowed machine type")]
     NoMachineType,
-    /// The tasks of a gang must be in different zones, and there is but one.
+    /// The tasks of the gang must be in different zones, but they are restricted to a single zone.
     #[error("its tasks may not all be in the only zone that they may be in")]
     SingleZone,
-    /// What must run at once exceeds the team's limit.
+    /// The tasks that must run at the same time exceed the team's limit.
     #[error("more than the team's limit")]
     TeamLimit,
 }
 
-/// Why a job's dependencies can never be done. The texts are those of the answers to users.
+/// Why a job's dependencies can never be done. Users get these texts as the answer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DependencyError {
-    /// The job is not known.
+    /// The dependency is not a known job.
     #[error("WaitsOn: {0} was never submitted")]
     NeverSubmitted(String),
-    /// The job is a service.
+    /// The dependency is a service, which runs until it is cancelled.
     #[error("WaitsOn: {0} is never done")]
     NeverDone(String),
 }
 
-/// Whether a text has the form of a job id.
+/// Whether a string is a job id: the prefix `j-` and 1 to 18 decimal digits.
 pub fn is_job_id(id: &str) -> bool {
     id.strip_prefix(ID_PREFIX).is_some_and(|digits| {
         (1..=ID_DIGITS_MAX).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
     })
 }
 
-/// Reads a submission.
+/// Parses a submission and checks its fields. The dependencies of the result are sorted and distinct.
 pub fn parse_submission(body: &[u8]) -> Result<Submission, SubmissionError> {
     let mut job: Submission = serde_json::from_slice(body)?;
     if !is_job_id(&job.id) {
-        return Err(SubmissionError::Id);
+        return Err(SubmissionError::JobId);
     }
     if !(1..=TASKS_MAX).contains(&job.tasks) {
-        return Err(SubmissionError::Tasks);
+        return Err(SubmissionError::TaskCount);
     }
-    check_texts(&job)?;
+    check_strings(&job)?;
     check_numbers(&job)?;
     if let Some(id) = job.waits_on.iter().find(|id| !is_job_id(id)) {
         return Err(SubmissionError::DependencyId(id.clone()));
@@ -93,15 +93,15 @@
     Ok(job)
 }
 
-/// Checks that no text is empty.
-fn check_texts(job: &Submission) -> Result<(), SubmissionError> {
-    for (name, text) in [
+/// Checks that the class, the team and the image are not empty.
+fn check_strings(job: &Submission) -> Result<(), SubmissionError> {
+    for (name, value) in [
         ("Jobclass", &job.class),
         ("Crew", &job.team),
         ("Bundle", &job.image),
     ] {
-        if text.is_empty() {
-            return Err(SubmissionError::Empty(name));
+        if value.is_empty() {
+            return Err(SubmissionError::EmptyString(name));
         }
     }
     Ok(())
@@ -120,13 +120,13 @@
         ("DueS", job.deadline_s.unwrap_or(0.0)),
     ] {
         if !(value.is_finite() && value >= 0.0) {
-            return Err(SubmissionError::Number(name));
+            return Err(SubmissionError::InvalidNumber(name));
         }
     }
     Ok(())
 }
 
-/// Why a job can never run, if it can't.
+/// Why a job can never run; None if it can.
 pub fn infeasibility(
     job: &Submission,
     config: &Config,
@@ -138,25 +138,31 @@
     if !types.iter().any(|t| is_type_allowed(job, t)) {
         return Some(Infeasibility::NoMachineType);
     }
-    let tasks_at_once = match job.kind {
+    let concurrent_tasks = match job.kind {
         JobKind::Array | JobKind::Service => 1.0,
         JobKind::Gang => f64::from(job.tasks),
     };
-    if job.kind == JobKind::Gang && job.spread && job.tasks > 1 && zones_of(job, types).len() < 2 {
+    if job.kind == JobKind::Gang
+        && job.spread
+        && job.tasks > 1
+        && usable_zones(job, types).len() < 2
+    {
         return Some(Infeasibility::SingleZone);
     }
-    let exceeds = |each: f64, max: f64| max > 0.0 && each * tasks_at_once > max + AMOUNT_TOLERANCE;
+    // A maximum of 0 means that the team has no limit.
+    let exceeds =
+        |per_task: f64, max: f64| max > 0.0 && per_task * concurrent_tasks > max + AMOUNT_TOLERANCE;
     if exceeds(job.cpus, team.cpus_max) || exceeds(job.gpus, team.gpus_max) {
         return Some(Infeasibility::TeamLimit);
     }
     None
 }
 
-/// The zones in which a job's tasks may be at the same time: one at the most if the job sets that.
-fn zones_of<'a>(job: &Submission, types: &'a [MachineType]) -> BTreeSet<&'a str> {
+/// Zones in which a job's tasks may run at the same time: at most one if the job wants all its tasks in one zone.
+fn usable_zones<'a>(job: &Submission, types: &'a [MachineType]) -> BTreeSet<&'a str> {
     let allowed = types.iter().filter(|t| is_type_allowed(job, t));
     let zones = allowed.flat_map(|t| t.zones.iter().map(String::as_str));
-    let is_allowed = |z: &&str| job.zone.as_ref().is_none_or(|zone| zone == z);
+    let is_allowed = |name: &&str| job.zone.as_ref().is_none_or(|zone| zone == name);
     let count_max = if job.one_zone { 1 } else { usize::MAX };
     zones
         .filter(is_allowed)
--- a/src/controller/users/submission_checks/tests.rs
+++ b/src/controller/users/submission_checks/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the checks of submissions.
+//! Tests of submission checks.
 
 use super::*;
 
@@ -8,7 +8,7 @@
     "WaypointS":30.0,"StashS":4.0,"DueS":null,"More":1}"#;
 
 #[test]
-fn malformed_submissions_are_told_from_those_that_can_never_run() {
+fn malformed_and_infeasible_submissions_are_distinguished() {
     let good = parse_submission(JOB.as_bytes()).unwrap();
     for (from, to) in [
         ("\"j-000412\"", "\"x-000412\""),
@@ -37,25 +37,25 @@
     let config = crate::config::tests::sample();
     let types = crate::test_support::types();
     assert_eq!(infeasibility(&good, &config, &types), None);
-    let wrong = |change: fn(&mut Submission)| {
+    let is_infeasible = |change: fn(&mut Submission)| {
         let mut job = good.clone();
         change(&mut job);
         infeasibility(&job, &config, &types).is_some()
     };
-    assert!(wrong(|j| j.team = "green".into()));
-    assert!(wrong(|j| j.cpus = 1000.0));
-    assert!(wrong(|j| j.tasks = 6));
-    assert!(wrong(|j| j.zone = Some("nowhere".into())));
-    assert!(wrong(|j| j.types = Some(vec!["none".into()])));
-    assert!(!wrong(|j| {
+    assert!(is_infeasible(|j| j.team = "green".into()));
+    assert!(is_infeasible(|j| j.cpus = 1000.0));
+    assert!(is_infeasible(|j| j.tasks = 6));
+    assert!(is_infeasible(|j| j.zone = Some("nowhere".into())));
+    assert!(is_infeasible(|j| j.types = Some(vec!["none".into()])));
+    assert!(!is_infeasible(|j| {
         j.tasks = 6;
         j.kind = JobKind::Array;
     }));
 }
 
-/// Users' programs may look for the texts of refusals.
+/// Users' programs may match the error texts of rejected submissions, so a changed text could break them.
 #[test]
-fn texts_of_refusals_keep_their_form() {
+fn error_texts_of_rejected_submissions_are_stable() {
     let malformed = |from: &str, to: &str| {
         let text = JOB.replacen(from, to, 1);
         parse_submission(text.as_bytes()).unwrap_err().to_string()
--- a/src/controller/users/submissions.rs
+++ b/src/controller/users/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions of jobs.
+//! Submissions: checks a job and stores it, or answers with the state of a job that is known already.
 
 use quota::{Attempt, AttemptOutcome};
 
@@ -15,13 +15,16 @@
 use crate::store::transaction::TxnOutcome;
 
 /// Answer when a job exceeds the limits of the state service.
-const TOO_LARGE: &str = "larger than the state service can store";
+const TOO_LARGE: &str = "the job is larger than the state service can store";
+/// Answer when the job may not have been stored.
+const SUBMISSION_UNCONFIRMED: &str = "the state service did not confirm the submission";
 
-/// The outcome of a job's creation.
-pub(crate) enum Creation {
-    /// The answer to its user is settled.
+/// The outcome of an attempt to create a job.
+pub(crate) enum CreationOutcome {
+    /// The attempt is complete; the user gets this answer.
     Answer(Response),
-    /// The job is not known, but some other condition of the transaction failed.
+    /// Nothing was stored, and the job is not known: a condition that concerns something else failed, such as the
+    /// revision of an allotment.
     Conflict,
 }
 
@@ -40,7 +43,7 @@
         }
         let types = self.replication.replica.borrow().machine_types.clone();
         let (true, Some(types)) = (self.replication.is_loaded.get(), types) else {
-            return Response::retry_later(503, "not ready", RETRY_S);
+            return Response::retry_later(503, "the controller is not ready", RETRY_S);
         };
         if self.is_known(&job.id) {
             return match self.read_barrier().await {
@@ -52,7 +55,8 @@
             return Response::error(422, &reason.to_string());
         }
         if !job.waits_on.is_empty() {
-            // Whether an id was accepted is known only after a read that began after the question came.
+            // The replica may lag behind the store: whether a job with this id was accepted is known only after a read
+            // that began after the request arrived.
             if self.read_barrier().await.is_err() {
                 return Response::retry_later(503, STATE_UNKNOWN, RETRY_S);
             }
@@ -66,27 +70,32 @@
         self.store_submission(&job).await
     }
 
-    /// Stores a new job; the answer to its user.
+    /// Stores a new job, within its team's quota if quotas are enabled; returns the answer for its user.
     async fn store_submission(&self, job: &Submission) -> Response {
         if let Some(quota) = &self.quota {
             return self.create_within_quota(quota, job).await;
         }
         match self.create_job(job, None).await {
-            Creation::Answer(answer) => answer,
-            Creation::Conflict => Response::retry_later(503, STATE_UNKNOWN, RETRY_S),
+            CreationOutcome::Answer(answer) => answer,
+            CreationOutcome::Conflict => Response::retry_later(503, STATE_UNKNOWN, RETRY_S),
         }
     }
 
-    /// Stores a new job; if it is charged to an allotment, on that attempt's conditions.
-    pub(crate) async fn create_job(&self, job: &Submission, attempt: Option<&Attempt>) -> Creation {
+    /// Stores a new job. `attempt` is set if the job is charged to an allotment; the transaction then has the attempt's
+    /// conditions too.
+    pub(crate) async fn create_job(
+        &self,
+        job: &Submission,
+        attempt: Option<&Attempt>,
+    ) -> CreationOutcome {
         let state = &self.config.deployment.state;
         let charged_to = attempt.map(|_| self.config.node.as_str().into());
         let mut txn = match job_creation(job, self.runtime.unix_ms(), charged_to, state) {
             Ok(txn) => txn,
             Err(error) => {
-                tracing::debug!(job = job.id, %error, "job can't be stored");
+                tracing::debug!(job = job.id, %error, "the job can't be stored");
                 self.finish_attempt(attempt, AttemptOutcome::NotApplied);
-                return Creation::Answer(self.refuse_as_too_large(job).await);
+                return CreationOutcome::Answer(self.refuse_as_too_large(job).await);
             }
         };
         if let Some(attempt) = attempt {
@@ -100,38 +109,40 @@
                 _ => AttemptOutcome::MayBeApplied,
             },
         );
-        Creation::Answer(match outcome {
-            // While the answer was under way another controller may have reported its end to a user.
+        CreationOutcome::Answer(match outcome {
+            // The job may have ended before the store's answer arrived, and another controller may have reported that end
+            // to a user: this answer must not show an earlier state.
             TxnOutcome::Applied(_) => self
                 .final_state(&job.id)
-                .unwrap_or_else(|| self.accepted(job)),
+                .unwrap_or_else(|| self.accepted_answer(job)),
             TxnOutcome::Conflict(_) if self.read_barrier().await.is_ok() => {
                 match self.known_state(&job.id) {
                     Some(answer) => answer,
-                    None => return Creation::Conflict,
+                    None => return CreationOutcome::Conflict,
                 }
             }
             TxnOutcome::TooLarge => self.refuse_as_too_large(job).await,
-            _ => Response::retry_later(503, "could not be stored now", RETRY_S),
+            _ => Response::retry_later(503, SUBMISSION_UNCONFIRMED, RETRY_S),
         })
     }
 
-    /// The answer to a submission that was stored. A job that depends on a cancelled one is accepted, and cancelled
-    /// from the start.
-    fn accepted(&self, job: &Submission) -> Response {
-        let mut fresh = ReplicatedJob::default();
-        fresh.dependency_cancelled = self.has_cancelled_dependency(job);
-        Response::json(201, &fresh.status(&job.id))
+    /// The answer to a submission that was stored. A job that depends on a cancelled job is accepted, and its state is
+    /// cancelled from the start.
+    fn accepted_answer(&self, job: &Submission) -> Response {
+        let mut new_job = ReplicatedJob::default();
+        new_job.dependency_cancelled = self.has_cancelled_dependency(job);
+        Response::json(201, &new_job.status(&job.id))
     }
 
-    /// A job that can't be stored now may have been accepted a moment ago, by a controller that stores larger values.
+    /// Refuses a job that is too large to be stored, unless it is known: another controller, whose limits allow larger
+    /// values, may have accepted it a moment ago.
     async fn refuse_as_too_large(&self, job: &Submission) -> Response {
         let refusal = Response::error(422, TOO_LARGE);
         self.refuse_unless_known(job, refusal).await
     }
 
-    /// A known job is answered as known, whatever is wrong with its submission: another controller may just have
-    /// accepted it.
+    /// Answers with `refusal`, unless the job is known after a read barrier: another controller may just have accepted
+    /// it, and then the answer is the job's state.
     pub(crate) async fn refuse_unless_known(
         &self,
         job: &Submission,
@@ -143,7 +154,7 @@
         self.known_state(&job.id).unwrap_or(refusal)
     }
 
-    /// Whether a job that this one depends on is known to be cancelled.
+    /// Whether any of a job's dependencies is known to be cancelled.
     fn has_cancelled_dependency(&self, job: &Submission) -> bool {
         let replica = self.replication.replica.borrow();
         let mut dependencies = job
@@ -153,7 +164,7 @@
         dependencies.any(|dependency| dependency.status("").state == JobState::Cancelled)
     }
 
-    /// Whether all that a job depends on is known and can be done, after a read barrier.
+    /// Checks that all dependencies of a job are known and can be done. Call after a read barrier.
     fn check_dependencies(&self, job: &Submission) -> Result<(), DependencyError> {
         let replica = self.replication.replica.borrow();
         for id in &job.waits_on {
--- a/src/controller/users/writes.rs
+++ b/src/controller/users/writes.rs
@@ -1,4 +1,5 @@
-//! Writes for users: this controller's part of the store's write limit, and how many are under way.
+//! Writes to the store for users, and those of other routines that share their budget: paced to this controller's share of
+//! the store's write limit, with a bounded number in flight.
 
 use std::cell::Cell;
 
@@ -9,27 +10,27 @@
 use crate::runtime::{Time, TokenBucket};
 use crate::store::transaction::TxnOutcome;
 
-/// Most writes for users under way at once.
+/// Maximum number of these writes in flight at once.
 pub(crate) const USER_WRITES_MAX: usize = 24;
-/// Time within which a write for a user must succeed, in seconds; users wait 5 s.
+/// Time limit of a write including its retries, in seconds; users wait 5 s for an answer.
 const USER_WRITE_TIMEOUT_S: f64 = 1.5;
-/// Factor by which the rate grows with each write that the store takes.
+/// Factor by which the rate grows with each write that the store processes.
 const RATE_GROWTH: f64 = 1.2;
 
-/// What this controller may write for users.
+/// The rate and the number in flight of the writes that this controller may make for users.
 pub(crate) struct UserWriteBudget {
-    /// Paces the writes, at first at this controller's share.
+    /// Paces the writes, initially at `share_rps`.
     rate_limit: TokenBucket,
-    /// What all controllers may write for users, in writes per second.
+    /// The rate for all controllers together, in writes per second.
     total_rps: f64,
-    /// This controller's share of it.
+    /// This controller's equal share of that rate, in writes per second.
     share_rps: f64,
-    /// Writes under way.
+    /// Number of writes in flight.
     in_flight: Cell<usize>,
 }
 
 impl UserWriteBudget {
-    /// A controller's equal share of what the settings leave to users.
+    /// The budget for one of the controllers that share the part of the store's write limit that the leader leaves.
     pub fn new(config: &Config) -> Self {
         let write_rps = config.deployment.state.write_rps;
         let nodes = config.deployment.nodes as f64;
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Takes one write out of the budget, and returns for how many seconds to wait before it; None if it would come
-    /// too late: what can't be done in time is refused now, not after waiting.
+    /// Reserves one write and returns how many seconds to wait before sending it. None if the wait would leave too little
+    /// of the time limit: such a write is refused at once instead of after a wait.
     fn acquire(&self, now: Time) -> Option<f64> {
         let wait_s = self.rate_limit.acquire(1.0, now);
         if wait_s > USER_WRITE_TIMEOUT_S / 2.0 {
@@ -54,8 +55,9 @@
         Some(wait_s)
     }
 
-    /// Users are not spread evenly over the controllers: one that has many of them may write more than
-    /// its share as long as the store takes it.
+    /// Adapts the rate to the outcome of a write. Users are not spread evenly over the controllers, so a controller with
+    /// many of them may exceed its share, up to the total rate, until the store refuses a write or doesn't answer; the
+    /// rate then falls back to the share.
     fn adapt_rate(&self, outcome: &TxnOutcome) {
         self.rate_limit.set_rate(match outcome {
             TxnOutcome::Applied(_) | TxnOutcome::Conflict(_) | TxnOutcome::TooLarge => {
@@ -67,8 +69,8 @@
 }
 
 impl Controller {
-    /// Stores something for a user, within this controller's budget. `Refused`: it surely was not stored, as
-    /// too much is under way or the store refused it. `Unknown`: the store gave no definite answer in time.
+    /// Applies a transaction within this controller's budget for users. `Refused`: it was definitely not applied, as too
+    /// many writes are in flight or the store refused it. `Unknown`: the store gave no definite answer in time.
     pub(crate) async fn write_for_user(&self, txn: &Txn) -> TxnOutcome {
         let in_flight = &self.user_writes.in_flight;
         if in_flight.get() >= USER_WRITES_MAX {
@@ -80,14 +82,14 @@
         outcome
     }
 
-    /// Writes as soon as the budget allows, and tries again until the time limit.
+    /// Sends a transaction as soon as the budget allows, and retries it until the time limit.
     async fn write_within_budget(&self, txn: &Txn) -> TxnOutcome {
         let deadline = self.now() + USER_WRITE_TIMEOUT_S;
         let Some(wait_s) = self.user_writes.acquire(self.now()) else {
             return TxnOutcome::Refused;
         };
         self.runtime.sleep(wait_s).await;
-        let mut without_success = TxnOutcome::Refused;
+        let mut failure = TxnOutcome::Refused;
         loop {
             let outcome = self.store.txn(txn).await;
             self.user_writes.adapt_rate(&outcome);
@@ -96,13 +98,13 @@
                     self.replication.record_store_contact(self.now());
                     return outcome;
                 }
-                // The same again does no harm: it creates only what is absent.
+                // Repeating the transaction is safe: a user's only creates keys that are absent.
                 TxnOutcome::Refused | TxnOutcome::Unknown => {
                     if outcome == TxnOutcome::Unknown {
-                        without_success = outcome;
+                        failure = outcome;
                     }
                     if self.now() + STORE_BACKOFF_S > deadline {
-                        return without_success;
+                        return failure;
                     }
                     self.runtime.sleep(STORE_BACKOFF_S).await;
                 }
--- a/src/controller/workers.rs
+++ b/src/controller/workers.rs
@@ -1,4 +1,5 @@
-//! What workers are served: heartbeats, at the leader and at delegates of its, and what is known of workers that cannot reach it.
+//! Heartbeats of workers: answered by the leader or by a delegate, or redirected to the leader; and what other controllers
+//! do for workers that cannot reach the leader.
 
 pub(crate) mod contacts;
 pub(crate) mod delegation;
--- a/src/controller/workers/contacts.rs
+++ b/src/controller/workers/contacts.rs
@@ -1,4 +1,4 @@
-//! The workers that sent this controller heartbeats, whoever leads.
+//! The workers that sent this controller heartbeats, kept whether or not this controller leads.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,31 +8,32 @@
 use crate::protocol::workers::Heartbeat;
 use crate::runtime::Time;
 
-/// A worker that was redirected to the leader.
+/// A redirect of a worker to the leader.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LeaderRedirect {
     /// When the redirect was sent.
-    pub at: Time,
-    /// The fencing token of that leader.
+    pub sent_at: Time,
+    /// The fencing token of the leader at that time.
     pub fencing_token: u64,
 }
 
 /// A worker that sent this controller heartbeats.
 pub(crate) struct WorkerContact {
-    /// When the last heartbeat came.
+    /// When the last heartbeat arrived.
     pub heartbeat_at: Time,
-    /// The last redirect to the leader.
+    /// The last redirect of the worker to the leader; None if it was never redirected.
     pub redirect: Option<LeaderRedirect>,
-    /// When the worker last came here although it knows the leader; None if it did not the last time.
+    /// When the worker last sent a heartbeat here because it could not reach the leader; None if its last redirect was
+    /// not a sign of that.
     pub leader_unreachable_at: Option<Time>,
-    /// Where the worker is.
+    /// The worker's machine, zone, address and agent epoch.
     pub location: WorkerLocation,
 }
 
 /// The workers that sent this controller heartbeats, by machine.
 #[derive(Default)]
 pub(crate) struct WorkerContacts {
-    /// Ordered by machine: in this order they are reported to other controllers, page by page.
+    /// Ordered by machine, which is the order in which [`Self::next_page`] reports them to other controllers.
     pub by_machine: RefCell<BTreeMap<String, WorkerContact>>,
 }
 
@@ -57,9 +58,9 @@
         contact.location.agent_epoch = heartbeat.agent_epoch;
     }
 
-    /// Records that a worker was redirected to a leader; whether it can't reach that leader, as far as that shows. A
-    /// worker that knows the leader's token, or was redirected to it lately, and comes here all the same could not
-    /// reach it.
+    /// Records that a worker is redirected to a leader, and returns what its heartbeat shows of whether it can reach that
+    /// leader. A worker that sends a heartbeat here although it knows the leader's token, or was redirected to that leader
+    /// within the last `repeated_within_s` seconds, could not reach the leader.
     pub fn record_redirect(
         &self,
         heartbeat: &Heartbeat,
@@ -72,10 +73,10 @@
             return LeaderReachability::Unknown;
         };
         let is_repeated = contact.redirect.is_some_and(|redirect| {
-            redirect.fencing_token == fencing_token && now - redirect.at < repeated_within_s
+            redirect.fencing_token == fencing_token && now - redirect.sent_at < repeated_within_s
         });
         contact.redirect = Some(LeaderRedirect {
-            at: now,
+            sent_at: now,
             fencing_token,
         });
         if is_repeated || heartbeat.fencing_token == fencing_token {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// How many workers could not reach the leader within the last `within_s` seconds.
+    /// Number of workers that showed within the last `within_s` seconds that they can't reach the leader.
     pub fn leader_unreachable_count(&self, now: Time, within_s: f64) -> usize {
         let contacts = self.by_machine.borrow();
         let is_recent = |contact: &&WorkerContact| {
@@ -108,8 +109,9 @@
             .collect()
     }
 
-    /// The next workers to be reported to another controller, after the machine `last_reported`, which is moved on. Each
-    /// time it begins anew, workers silent for `forget_after_s` seconds are forgotten.
+    /// The next page of workers to report to another controller: those after the machine `last_reported`, which is set to
+    /// the last machine of the page, or to an empty string after the last page. At the start of each pass over all workers,
+    /// those silent for `forget_after_s` seconds are removed.
     pub fn next_page(
         &self,
         last_reported: &mut String,
@@ -134,10 +136,10 @@
     }
 }
 
-/// What a heartbeat sent here shows of whether its worker can reach the leader.
+/// What a heartbeat to another controller than the leader shows of whether its worker can reach the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LeaderReachability {
-    /// Nothing yet: the worker may not know the leader.
+    /// Nothing: the worker may not know yet which controller leads.
     Unknown,
     /// The worker knows the leader and could not reach it.
     Unreachable,
--- a/src/controller/workers/delegation.rs
+++ b/src/controller/workers/delegation.rs
@@ -1,4 +1,4 @@
-//! Delegation: answering workers in the name of a leader that they can't reach, see [`crate::fleet::zones`].
+//! Delegation: this controller answers workers in the name of a leader that they can't reach, see [`crate::fleet::zones`].
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 use crate::store::replica::Versioned;
 use crate::store::transaction::TxnOutcome;
 
-/// A delegation as the replica shows it.
+/// The record of a delegation, as the replica shows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct DelegationRef {
     /// The fencing token of the leader that delegates.
@@ -26,36 +26,36 @@
     revision: u64,
 }
 
-/// What the store says of a delegation.
+/// The result of comparing a delegation with the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DelegationStatus {
-    /// It is in force, and the replica is as current as the comparison that showed so.
+    /// The delegation is in force, and the replica has reached the revision of the comparison that showed it.
     InForce,
-    /// Taken back, or another controller leads by now.
+    /// The leader has revoked the delegation, or another controller leads now.
     Revoked,
-    /// The store gave no answer.
+    /// The store gave no definite answer, or the replica did not reach the revision of the answer in time.
     Unknown,
 }
 
-/// A heartbeat that waits until the store shows whether a delegation is in force.
+/// A heartbeat whose answer waits until the store has shown whether a delegation is in force.
 struct DelegationCheck {
     /// The delegation under which the heartbeat would be answered.
     delegation: DelegationRef,
-    /// Takes the result of the check.
+    /// Sends the result to the request of the heartbeat.
     sender: oneshot::Sender<DelegationStatus>,
 }
 
-/// The heartbeats that wait for the check of a delegation.
+/// The heartbeats whose answers wait for the check of a delegation.
 #[derive(Default)]
 pub(crate) struct DelegationChecks {
-    /// The heartbeats that came since the last check began.
+    /// The heartbeats that arrived since the last check began.
     waiting: RefCell<Vec<DelegationCheck>>,
-    /// Begins a check.
+    /// Set when a check is due.
     requested: Signal,
 }
 
-/// Stops for all that a worker has of jobs that have ended: a cancelled job must be gone in time, and
-/// the reply renews its worker's lease.
+/// Stop commands for all tasks in a heartbeat whose jobs have ended. The reply to the heartbeat renews the worker's lease:
+/// without these commands the tasks of a cancelled job would go on running beyond the time limit of a cancellation.
 pub(crate) fn stop_commands_for_ended_jobs(
     heartbeat: &Heartbeat,
     is_ended: impl Fn(&str) -> bool,
@@ -63,18 +63,19 @@
     let live = heartbeat
         .tasks
         .iter()
-        .filter(|t| t.state != TaskState::Exited);
-    live.filter(|t| is_ended(&t.task))
-        .map(|t| Command::Stop {
-            task: t.task.clone(),
-            attempt: t.attempt,
+        .filter(|status| status.state != TaskState::Exited);
+    live.filter(|status| is_ended(&status.task))
+        .map(|status| Command::Stop {
+            task: status.task.clone(),
+            attempt: status.attempt,
             grace_s: 0.0,
         })
         .collect()
 }
 
 impl Controller {
-    /// Answers a heartbeat in the leader's name; None if the leader does not let others do so in the worker's zone.
+    /// Answers a heartbeat in the leader's name; None if no delegation for the worker's zone is in force, or if the worker
+    /// has seen a higher fencing token than the leader's.
     pub(crate) async fn answer_as_delegate(
         &self,
         heartbeat: &Heartbeat,
@@ -87,7 +88,11 @@
             return None;
         };
         if self.delegation_checks.waiting.borrow().len() >= READ_WAITERS_MAX {
-            return Some(Response::retry_later(503, "too many reports", RETRY_S));
+            return Some(Response::retry_later(
+                503,
+                "too many heartbeats wait for the check of a delegation",
+                RETRY_S,
+            ));
         }
         match self.check_delegation(delegation).await {
             DelegationStatus::InForce => {}
@@ -95,7 +100,7 @@
             DelegationStatus::Unknown => {
                 return Some(Response::retry_later(
                     503,
-                    "whether the delegation is in force is not known",
+                    "the delegation can't be checked",
                     RETRY_S,
                 ));
             }
@@ -105,7 +110,7 @@
         Some(heartbeat_reply(fencing_token, commands))
     }
 
-    /// The delegation of a zone by that leader, as the replica shows it.
+    /// The delegation of a zone by the leader with this fencing token, if the replica shows one that is not revoked.
     fn delegation_for(&self, zone: &str, fencing_token: u64) -> Option<DelegationRef> {
         let replica = self.replication.replica.borrow();
         let mut delegations = replica.delegations.iter();
@@ -120,7 +125,7 @@
         })
     }
 
-    /// Waits for a check of the delegation that begins after this call.
+    /// Waits for a check of a delegation that begins after this call.
     async fn check_delegation(&self, delegation: DelegationRef) -> DelegationStatus {
         let (sender, receiver) = oneshot::channel();
         self.delegation_checks
@@ -134,8 +139,8 @@
         }
     }
 
-    /// Reads, for heartbeats that wait, whether delegations are still in force; then waits for the replica to
-    /// show all that was stored by then. A read answers only what came before it began.
+    /// Checks delegations for the heartbeats that wait. A check answers only heartbeats that arrived before it began, and
+    /// heartbeats that wait for the same delegation share one check.
     pub(crate) async fn check_delegations(self: Rc<Self>) {
         loop {
             self.delegation_checks.requested.take().await;
@@ -160,7 +165,7 @@
         }
     }
 
-    /// Compares a delegation with the store, and waits for the replica to be as current as that comparison.
+    /// Compares a delegation with the store, and waits until the replica has reached the revision of that comparison.
     async fn delegation_status(&self, delegation: &DelegationRef) -> DelegationStatus {
         let compare = Txn {
             conditions: vec![
--- a/src/controller/workers/delegation/tests.rs
+++ b/src/controller/workers/delegation/tests.rs
@@ -9,56 +9,57 @@
 use crate::runtime::{Runtime, Scope};
 use crate::test_support::{FakeWorker, job, types};
 
-/// What the scripted store says when it is asked whether the delegation is in force.
-const ANSWERS: [(u16, &str); 3] = [
+/// The scripted store's answers to the successive checks of the delegation.
+const CHECK_ANSWERS: [(u16, &str); 3] = [
     (200, r#"{"Epoch":9}"#),
     (409, r#"{"failed":["x"],"Epoch":9}"#),
     (503, "{}"),
 ];
 
-/// The store's content: n1 leads, lets others answer in the south, and a job is cancelled.
-fn stored() -> String {
+/// The store's content: n1 leads and has delegated the zone south, and job j-2 is cancelled.
+fn stored_keys() -> String {
     let specs = ["j-1", "j-2"].map(|id| serde_json::to_string(&job(id, 2)).unwrap());
     let types = serde_json::to_string(&types()).unwrap();
-    let word = r#"{"token":7,"zone":"south","over":false}"#;
+    let delegation = r#"{"token":7,"zone":"south","over":false}"#;
     let keys = [
         (keys::leader(), r#"{"host":"n1","incarnation":1}"#, 7),
-        (keys::delegation(7, 1), word, 8),
+        (keys::delegation(7, 1), delegation, 8),
         (keys::job("j-1"), &specs[0], 2),
         (keys::job("j-2"), &specs[1], 3),
         (keys::job_end("j-2"), r#"{"end":"aborted","done":0}"#, 9),
         (keys::machine_types(), &types, 1),
     ];
-    let pairs = keys.map(|(k, v, stamp)| format!(r#"{{"K":"{k}","V":{v},"Stamp":{stamp}}}"#));
+    let pairs = keys
+        .map(|(key, value, revision)| format!(r#"{{"K":"{key}","V":{value},"Stamp":{revision}}}"#));
     let pairs = pairs.join(",");
     format!(r#"{{"Pairs":[{pairs}],"Truncated":false,"Epoch":9}}"#)
 }
 
-/// A controller answers in the leader's name only if the store, asked after the report came,
-/// shows that it may: else a later leader would start elsewhere what still runs there. What is
-/// cancelled is stopped by the answer, as the worker's lease goes on.
+/// A delegate answers a heartbeat only if the store, read after the heartbeat arrived, shows that the delegation is in
+/// force. Otherwise it could renew a lease that a later leader takes for expired, and that leader would start elsewhere
+/// what still runs on the machine. As the answer renews the lease, it must carry stop commands for cancelled jobs.
 #[test]
-fn reports_are_answered_for_the_leader_only_while_its_word_stands() {
+fn heartbeats_are_answered_for_the_leader_only_while_its_delegation_is_in_force() {
     let finished = Rc::new(Cell::new(false));
     let end = finished.clone();
     Runtime::run::<calloop::Error>(move |runtime| {
         let mut listener = runtime.listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let mut config = crate::config::tests::sample();
         config.services.state = listener.addr().unwrap();
-        let asked = Rc::new(Cell::new(0));
-        let (handler_runtime, count) = (runtime.clone(), asked.clone());
+        let checks = Rc::new(Cell::new(0));
+        let (handler_runtime, handler_checks) = (runtime.clone(), checks.clone());
         let handler = Rc::new(move |request: Request| {
-            let (runtime, asked) = (handler_runtime.clone(), count.clone());
+            let (runtime, checks) = (handler_runtime.clone(), handler_checks.clone());
             Box::pin(async move {
                 if request.path.starts_with("/keys?") {
-                    return answer(200, stored());
+                    return answer(200, stored_keys());
                 }
                 if request.path == crate::protocol::paths::TXN {
-                    let (status, body) = ANSWERS[asked.get()];
-                    asked.set(asked.get() + 1);
+                    let (status, body) = CHECK_ANSWERS[checks.get()];
+                    checks.set(checks.get() + 1);
                     return answer(status, body.into());
                 }
-                // A watch for what never comes.
+                // A watch that never gets a change.
                 runtime.sleep(crate::controller::replication::WATCH_S).await;
                 answer(503, "{}".into())
             }) as _
@@ -73,7 +74,7 @@
             while !node.replication.is_loaded.get() {
                 node.replication.advanced.notified().await;
             }
-            let mut w = FakeWorker::new("i-1", "small", "south");
+            let mut worker = FakeWorker::new("i-1", "small", "south");
             let running = |task: &str| TaskStatus {
                 task: task.into(),
                 attempt: 1,
@@ -81,28 +82,29 @@
                 exit_reason: None,
                 saved: None,
             };
-            w.heartbeat.tasks = vec![running("j-1/0"), running("j-2/0")];
-            let ask = async |w: &mut FakeWorker| {
-                let body = serde_json::to_vec(&w.next()).unwrap();
+            worker.heartbeat.tasks = vec![running("j-1/0"), running("j-2/0")];
+            let send_heartbeat = async |worker: &mut FakeWorker| {
+                let body = serde_json::to_vec(&worker.next()).unwrap();
                 node.handle_heartbeat(&body).await
             };
-            let told = ask(&mut w).await;
-            assert_eq!(told.status, 200);
-            let reply: HeartbeatReply = serde_json::from_slice(&told.body).unwrap();
+            let answer = send_heartbeat(&mut worker).await;
+            assert_eq!(answer.status, 200);
+            let reply: HeartbeatReply = serde_json::from_slice(&answer.body).unwrap();
             let stop = Command::Stop {
                 task: "j-2/0".into(),
                 attempt: 1,
                 grace_s: 0.0,
             };
             assert_eq!((reply.fencing_token, reply.commands), (7, vec![stop]));
-            assert_eq!(ask(&mut w).await.status, 421);
-            assert_eq!(ask(&mut w).await.status, 503);
-            // Nobody stands in elsewhere, nor under an older token than the worker has seen.
-            w.heartbeat.zone = "north".into();
-            assert_eq!(ask(&mut w).await.status, 421);
-            (w.heartbeat.zone, w.heartbeat.fencing_token) = ("south".into(), 8);
-            assert_eq!(ask(&mut w).await.status, 421);
-            assert_eq!(asked.get(), 3);
+            assert_eq!(send_heartbeat(&mut worker).await.status, 421);
+            assert_eq!(send_heartbeat(&mut worker).await.status, 503);
+            // No delegate answers in a zone without a delegation, nor a worker that has seen a higher fencing token. The
+            // store is not even asked then.
+            worker.heartbeat.zone = "north".into();
+            assert_eq!(send_heartbeat(&mut worker).await.status, 421);
+            (worker.heartbeat.zone, worker.heartbeat.fencing_token) = ("south".into(), 8);
+            assert_eq!(send_heartbeat(&mut worker).await.status, 421);
+            assert_eq!(checks.get(), 3);
             end.set(true);
             runtime.stop();
         });
--- a/src/controller/workers/heartbeats.rs
+++ b/src/controller/workers/heartbeats.rs
@@ -7,14 +7,15 @@
 use crate::protocol::workers::{Command, Heartbeat, HeartbeatReply, Redirect};
 use crate::runtime::Time;
 
-/// How long the reply to a heartbeat waits for a round of the leader, in heartbeat intervals.
+/// Longest time that the reply to a heartbeat waits for a round of the leader, in heartbeat intervals.
 const REPLY_HOLD_HEARTBEATS: f64 = 0.15;
 
-/// What a leader replies to a heartbeat, after a round that it waited for.
+/// The leader's decision on the reply to a heartbeat, once its commands are known.
 enum LeaderReply {
-    /// The commands, which renew the worker's lease.
+    /// Reply with the commands; this renews the worker's lease.
     Commands,
-    /// What may yet start there must not: the worker's lease is to expire.
+    /// Don't renew the worker's lease: a direct launch of a task that must no longer run may still be executed on the
+    /// machine, and only the expiry of the lease rules that out.
     LeaseMustExpire,
 }
 
@@ -31,7 +32,7 @@
     /// Answers a heartbeat.
     pub(crate) async fn handle_heartbeat(&self, body: &[u8]) -> Response {
         let Ok(heartbeat) = serde_json::from_slice::<Heartbeat>(body) else {
-            return Response::error(400, "not a report");
+            return Response::error(400, "malformed heartbeat");
         };
         let now = self.now();
         let leader = self
@@ -59,11 +60,11 @@
                 };
                 Response::json(421, &redirect)
             }
-            _ => Response::retry_later(503, "nobody leads", RETRY_S),
+            _ => Response::retry_later(503, "no leader is available", RETRY_S),
         }
     }
 
-    /// None: this controller does not lead with that token any more.
+    /// Answers a heartbeat as the leader; None if this controller no longer leads under that fencing token.
     async fn answer_as_leader(
         &self,
         heartbeat: &Heartbeat,
@@ -76,15 +77,15 @@
             (commands, leader.has_work_waiting())
         })?;
         let Some(mut commands) = commands else {
-            // Nothing new: perhaps a late copy, perhaps a heartbeat that an answer to a direct command
-            // overtook. It renews the lease in that case, so it must not go without the stops of what
-            // is over; these do no harm to a worker that gave up on it.
+            // The heartbeat is not new: it is a late copy, or an answer to a direct command overtook it. In the second
+            // case the reply renews the worker's lease, so it must carry the stop commands for jobs that have ended.
+            // They do no harm at a worker that no longer waits for the reply.
             let commands = self.stop_commands(heartbeat);
             return Some(heartbeat_reply(fencing_token, commands));
         };
         self.leadership.round_due.set();
         if has_work_waiting {
-            // What this heartbeat makes room for can go out with its reply, once stored.
+            // Tasks placed on the capacity that this heartbeat frees can be launched with its reply, once they are stored.
             let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
             let hold_s = heartbeat_interval_s * REPLY_HOLD_HEARTBEATS;
             let round = self.leadership.round_completed.notified();
@@ -103,13 +104,13 @@
         Some(match reply {
             Some(LeaderReply::Commands) => heartbeat_reply(fencing_token, commands),
             Some(LeaderReply::LeaseMustExpire) => {
-                Response::retry_later(503, "the lease runs out", RETRY_S)
+                Response::retry_later(503, "the worker's lease must expire", RETRY_S)
             }
-            None => Response::retry_later(503, "no longer leading", RETRY_S),
+            None => Response::retry_later(503, "this controller no longer leads", RETRY_S),
         })
     }
 
-    /// Stops for all that a worker has of jobs that have ended.
+    /// Stop commands for all tasks in a heartbeat whose jobs have ended by this controller's replica.
     pub(crate) fn stop_commands(&self, heartbeat: &Heartbeat) -> Vec<Command> {
         stop_commands_for_ended_jobs(heartbeat, |task| self.is_job_ended(task))
     }
--- a/src/controller/workers/relay.rs
+++ b/src/controller/workers/relay.rs
@@ -1,4 +1,4 @@
-//! Relays: what a delegate reports to the leader about a zone that the leader can't reach.
+//! Relays: reports of a delegate to the leader about a zone that the leader can't reach, written to the store.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -15,30 +15,30 @@
 use crate::store::records::{JobAssignments, RelayRecord, TaskRange};
 use crate::store::transaction::TxnOutcome;
 
-/// Bytes of a relay record beside its jobs and agent epochs.
-const RECORD_BYTES: usize = 128;
-/// Most bytes of a job in a record beside its id, and of a range of its tasks.
-const JOB_BYTES: usize = 48;
-/// Most bytes of a range of tasks, or of an agent epoch beside its machine.
-const RANGE_BYTES: usize = 16;
+/// Maximum size of a relay record without its jobs and agent epochs, in bytes.
+const RECORD_OVERHEAD_BYTES: usize = 128;
+/// Maximum size of a job in a record without its id and its ranges of tasks, in bytes.
+const JOB_OVERHEAD_BYTES: usize = 48;
+/// Maximum size of a range of tasks, or of an agent epoch without the name of its machine, in bytes.
+const RANGE_BYTES_MAX: usize = 16;
 
-/// What heartbeats of a zone showed that the leader is to learn.
+/// What heartbeats of a zone showed that the leader needs to know: completed tasks and new agent epochs.
 #[derive(Debug, Default)]
 pub(crate) struct Relay {
-    /// The fencing token of that leader.
+    /// The fencing token of the leader that the relay is for.
     fencing_token: u64,
-    /// Tasks, by name and attempt, whose completion was taken in.
+    /// All tasks seen to be completed, by name and attempt: each is reported once.
     completed: HashSet<(String, u64)>,
-    /// Completed tasks that are to be written, by job and attempt.
+    /// Completed tasks that still have to be written, by job and attempt.
     pending_tasks: BTreeMap<(String, u64), BTreeSet<u32>>,
-    /// The agent epochs that were taken in, by machine.
+    /// The last agent epoch seen of each machine.
     agent_epochs: HashMap<String, u64>,
-    /// Machines whose agent epochs are to be written.
+    /// Machines with agent epochs that still have to be written.
     pending_epochs: Vec<(String, u64)>,
 }
 
 impl Relay {
-    /// For the leader with this token.
+    /// An empty relay for the leader with this fencing token.
     pub(crate) fn new(fencing_token: u64) -> Self {
         Relay {
             fencing_token,
@@ -46,18 +46,19 @@
         }
     }
 
-    /// Takes in a heartbeat; whether it shows something that the leader is to learn.
+    /// Records a heartbeat; returns whether it has added something to be written.
     pub(crate) fn record(&mut self, heartbeat: &Heartbeat) -> bool {
-        let mut has_news = self.record_agent_epoch(heartbeat);
+        let mut has_additions = self.record_agent_epoch(heartbeat);
         for status in &heartbeat.tasks {
-            has_news |= self.record_completion(status);
+            has_additions |= self.record_completion(status);
         }
-        has_news
+        has_additions
     }
 
-    /// Takes in which agent epoch the worker is in; whether that is new.
+    /// Records the agent epoch of a worker; returns whether it is new.
     fn record_agent_epoch(&mut self, heartbeat: &Heartbeat) -> bool {
-        // A worker that has not yet seen the token may still be given something by a former leader.
+        // A worker that has not yet seen the leader's fencing token still executes commands of an earlier leader, so its
+        // agent epoch does not show what is gone from the machine.
         if heartbeat.fencing_token != self.fencing_token {
             return false;
         }
@@ -70,7 +71,7 @@
         true
     }
 
-    /// Takes in a task that has completed; whether that is new.
+    /// Records the task if it has completed; returns whether that is new.
     fn record_completion(&mut self, status: &TaskStatus) -> bool {
         let is_done =
             status.state == TaskState::Exited && status.exit_reason == Some(ExitReason::Done);
@@ -85,14 +86,14 @@
         false
     }
 
-    /// Takes what is to be written, as much as fits into a value of `bytes_max` bytes.
+    /// Takes out the next record to be written, with as much as fits into a value of `bytes_max` bytes.
     pub(crate) fn take_record(&mut self, zone: &str, bytes_max: usize) -> RelayRecord {
-        let mut bytes = RECORD_BYTES;
+        let mut bytes = RECORD_OVERHEAD_BYTES;
         let mut agent_epochs = Vec::new();
         while bytes < bytes_max
             && let Some((machine, agent_epoch)) = self.pending_epochs.pop()
         {
-            bytes += machine.len() + RANGE_BYTES;
+            bytes += machine.len() + RANGE_BYTES_MAX;
             agent_epochs.push((machine, agent_epoch));
         }
         RelayRecord {
@@ -103,14 +104,14 @@
         }
     }
 
-    /// Takes completed tasks for a record that has `bytes` already.
+    /// Takes out completed tasks for a record that already has `bytes` bytes.
     fn take_tasks(&mut self, mut bytes: usize, bytes_max: usize) -> Vec<JobAssignments> {
         let mut jobs = Vec::new();
         while let Some(((id, attempt), mut tasks)) = self.pending_tasks.pop_first() {
-            bytes += id.len() + JOB_BYTES;
-            let ranges_max = bytes_max.saturating_sub(bytes) / RANGE_BYTES;
+            bytes += id.len() + JOB_OVERHEAD_BYTES;
+            let ranges_max = bytes_max.saturating_sub(bytes) / RANGE_BYTES_MAX;
             let done = take_ranges(&mut tasks, ranges_max);
-            bytes += done.len() * RANGE_BYTES;
+            bytes += done.len() * RANGE_BYTES_MAX;
             if !tasks.is_empty() {
                 self.pending_tasks.insert((id.clone(), attempt), tasks);
             }
@@ -127,18 +128,18 @@
         jobs
     }
 
-    /// Takes back a record that was not written.
-    fn restore(&mut self, record: RelayRecord) {
+    /// Returns the contents of a record that was not written to what still has to be written.
+    fn requeue(&mut self, record: RelayRecord) {
         self.pending_epochs.extend(record.agent_epochs);
         for job in &record.jobs {
             let tasks = self.pending_tasks.entry((job.id.clone(), job.attempt));
-            let all = job.done.iter().flat_map(TaskRange::tasks);
-            tasks.or_default().extend(all);
+            let completed = job.done.iter().flat_map(TaskRange::tasks);
+            tasks.or_default().extend(completed);
         }
     }
 }
 
-/// Takes up to `count_max` ranges of consecutive tasks, as their first tasks and lengths.
+/// Takes up to `count_max` ranges of consecutive tasks out of a set.
 fn take_ranges(tasks: &mut BTreeSet<u32>, count_max: usize) -> Vec<TaskRange> {
     let mut ranges: Vec<TaskRange> = Vec::new();
     while let Some(task) = tasks.first().copied() {
@@ -156,21 +157,21 @@
 /// The relays of this controller, by zone.
 #[derive(Default)]
 pub(crate) struct Relays {
-    /// The relay of each zone in which this controller answers for the leader.
+    /// The relay of each zone in which this controller answers in the leader's name.
     by_zone: RefCell<HashMap<String, Relay>>,
-    /// Set when there is something to be written.
+    /// Set when a relay may have something to be written.
     write_due: Signal,
 }
 
 impl Relays {
-    /// Drops a zone's relay: its workers are not answered in the leader's name any more.
+    /// Drops the relay of a zone in which this controller no longer answers in the leader's name.
     pub fn forget(&self, zone: &str) {
         self.by_zone.borrow_mut().remove(zone);
     }
 
-    /// Takes in a heartbeat that is answered in the name of the leader with that token.
+    /// Records a heartbeat that is answered in the name of the leader with this fencing token.
     pub fn record(&self, heartbeat: &Heartbeat, fencing_token: u64) {
-        let has_news = {
+        let has_additions = {
             let mut relays = self.by_zone.borrow_mut();
             let relay = relays.entry(heartbeat.zone.clone()).or_default();
             if relay.fencing_token != fencing_token {
@@ -178,12 +179,12 @@
             }
             relay.record(heartbeat)
         };
-        if has_news {
+        if has_additions {
             self.write_due.set();
         }
     }
 
-    /// The next record of a zone, if there is something to be written.
+    /// Takes out the next record of a zone; None if there is nothing to be written.
     fn take_record(&self, zone: &str, bytes_max: usize) -> Option<RelayRecord> {
         let mut relays = self.by_zone.borrow_mut();
         let record = relays.get_mut(zone)?.take_record(zone, bytes_max);
@@ -191,27 +192,29 @@
         (!is_empty).then_some(record)
     }
 
-    /// Takes back a record that was not written, unless it was for an earlier leader.
-    fn restore(&self, record: RelayRecord) {
+    /// Returns the contents of a record that was not written to its zone's relay, unless it was for an earlier leader.
+    fn requeue(&self, record: RelayRecord) {
         let mut relays = self.by_zone.borrow_mut();
         let relay = relays.get_mut(&record.zone);
-        if let Some(relay) = relay.filter(|r| r.fencing_token == record.fencing_token) {
-            relay.restore(record);
+        if let Some(relay) = relay.filter(|relay| relay.fencing_token == record.fencing_token) {
+            relay.requeue(record);
         }
     }
 }
 
-/// Whether a relay record still must be written.
+/// The result of writing a relay record.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RelayWrite {
-    /// It was stored, or is dropped as larger than the store takes: a relay only saves time.
+    /// The record was stored, or dropped because the store rejected it as too large. Dropping it is safe: a relay only
+    /// lets the leader know sooner.
     Settled,
-    /// It is to be tried again.
+    /// The record must be written again.
     Failed,
 }
 
 impl Controller {
-    /// Reports to the leader what tasks completed, and which workers began anew, where it can't see them.
+    /// Reports completed tasks and new agent epochs to the leader from zones that it can't reach, at most one record per
+    /// zone and heartbeat interval.
     pub(crate) async fn write_relays(self: Rc<Self>) {
         let bytes_max = (self.config.deployment.state.value_kb * 1024.0) as usize;
         loop {
@@ -222,7 +225,7 @@
                     continue;
                 };
                 if self.write_relay(&record).await == RelayWrite::Failed {
-                    self.relays.restore(record);
+                    self.relays.requeue(record);
                 }
                 self.relays.write_due.set();
             }
@@ -231,7 +234,7 @@
         }
     }
 
-    /// Writes a record, on the condition that its leader still leads.
+    /// Writes a record, provided that the leader that it is for still leads.
     async fn write_relay(&self, record: &RelayRecord) -> RelayWrite {
         let Ok(value) = to_raw_value(record) else {
             return RelayWrite::Failed;
--- a/src/controller/workers/step_down_requests.rs
+++ b/src/controller/workers/step_down_requests.rs
@@ -1,4 +1,4 @@
-//! Requests to a leader to step down, written to the store when workers can't reach it but reach this controller.
+//! Requests to the leader to step down, written to the store when workers can't reach the leader but reach this controller.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,36 +14,38 @@
 use crate::store::keys;
 use crate::store::records::StepDownRequest;
 
-/// Least interval between two requests, in heartbeat intervals of the workers.
+/// Minimum interval between two requests, in heartbeat intervals of the workers.
 const REQUEST_INTERVAL_HEARTBEATS: f64 = 0.5;
-/// Greatest interval between two requests, in seconds.
+/// Upper bound of that interval, in seconds.
 const REQUEST_INTERVAL_S_MAX: f64 = 1.5;
-/// Least number of workers that can't reach the leader for a request.
+/// Minimum number of workers that can't reach the leader for a request to be made.
 const UNREACHABLE_WORKERS_MIN: usize = 2;
-/// A worker counts among them for so many heartbeat intervals.
+/// Number of heartbeat intervals for which a worker counts among them.
 const UNREACHABLE_HEARTBEATS: f64 = 2.0;
-/// A worker that comes back within so many heartbeat intervals of a redirect could not reach the leader.
+/// A worker that sends another heartbeat here within this number of heartbeat intervals after a redirect could not reach
+/// the leader.
 const REDIRECT_REPEAT_HEARTBEATS: f64 = 4.0;
-/// A leader without heartbeats for so many intervals resigns when it is asked to step down.
+/// Number of heartbeat intervals without contact with any worker after which a leader grants a request to step down.
 const NO_CONTACT_HEARTBEATS: f64 = 1.3;
-/// Or for so many seconds, if it knows so many machines: some of them would send heartbeats in that time.
+/// Upper bound of that time, in seconds, for a leader that knows at least [`NO_CONTACT_S_MAX_MACHINES`] machines: some of
+/// them would send heartbeats in that time.
 const NO_CONTACT_S_MAX: f64 = 4.0;
-/// Least number of known machines for which that limit holds.
+/// Minimum number of known machines for [`NO_CONTACT_S_MAX`] to apply.
 const NO_CONTACT_S_MAX_MACHINES: usize = 12;
 
-/// The request that is due, and when the last one was.
+/// The request that is due, and the time of the last one.
 #[derive(Default)]
 pub(crate) struct StepDownRequests {
     /// When the last request was made.
-    last_at: Cell<Option<Time>>,
-    /// The fencing token of the leader that is to step down.
-    pending: Cell<Option<u64>>,
+    last_requested_at: Cell<Option<Time>>,
+    /// The fencing token of the leader that is to step down; None if no request is to be written.
+    pending_token: Cell<Option<u64>>,
     /// Set when a request is to be written.
     requested: Signal,
 }
 
 impl Controller {
-    /// Records that a worker is redirected to the leader, and asks the leader to step down if enough workers can't
+    /// Records that a worker is redirected to the leader, and requests that the leader steps down if enough workers can't
     /// reach it.
     pub(crate) fn record_redirect(&self, heartbeat: &Heartbeat, fencing_token: u64, now: Time) {
         let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
@@ -57,7 +59,7 @@
         let interval_s =
             (heartbeat_interval_s * REQUEST_INTERVAL_HEARTBEATS).min(REQUEST_INTERVAL_S_MAX);
         let is_too_soon = requests
-            .last_at
+            .last_requested_at
             .get()
             .is_some_and(|at| now - at <= interval_s);
         if reachability != LeaderReachability::Unreachable || is_too_soon {
@@ -66,17 +68,18 @@
         let within_s = heartbeat_interval_s * UNREACHABLE_HEARTBEATS;
         let count = self.worker_contacts.leader_unreachable_count(now, within_s);
         if count >= UNREACHABLE_WORKERS_MIN {
-            requests.last_at.set(Some(now));
-            requests.pending.set(Some(fencing_token));
+            requests.last_requested_at.set(Some(now));
+            requests.pending_token.set(Some(fencing_token));
             requests.requested.set();
         }
     }
 
-    /// Writes the requests: a leader that gets no heartbeats while others do should step down.
+    /// Writes the requests that are due, each provided that the leader it concerns still leads. A leader that gets no
+    /// heartbeats while other controllers get some should step down.
     pub(crate) async fn write_step_down_requests(self: Rc<Self>) {
         loop {
             self.step_down_requests.requested.take().await;
-            let Some(fencing_token) = self.step_down_requests.pending.take() else {
+            let Some(fencing_token) = self.step_down_requests.pending_token.take() else {
                 continue;
             };
             let Ok(value) = to_raw_value(&StepDownRequest { fencing_token }) else {
@@ -98,7 +101,8 @@
         }
     }
 
-    /// Whether this leader gets no heartbeats, so that it must grant a request to step down.
+    /// Whether this controller's leader has had no contact with workers for so long that it must grant a request to step
+    /// down.
     pub(crate) fn is_unreachable_for_workers(&self, leader: &Leader, now: Time) -> bool {
         let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
         let mut limit_s = heartbeat_interval_s * NO_CONTACT_HEARTBEATS;
