--- a/src/controller/admission/quota_admission.rs
+++ b/src/controller/admission/quota_admission.rs
@@ -26,7 +26,7 @@
 const WAITING_CHARGES_MAX: usize = 16;
 /// Longest time that a submission waits for a transfer of units, in seconds.
 const TRANSFER_WAIT_S: f64 = 0.6;
-/// Share of this controller's part of the store's write limit that transfers may take for which no submission waits.
+/// Share of this controller's part of the store's write limit for transfers that no submission waits for.
 const BACKGROUND_TRANSFER_SHARE: f64 = 0.25;
 /// Maximum number of shortages reported in one heartbeat to another controller.
 const SHORTAGES_MAX: usize = 64;
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Whether this controller and the store have the same quota settings, or neither has any. The settings must also have
-    /// been in force once since the process started: until then no submission can be admitted.
+    /// Whether this controller and the store have the same quota settings, or neither has any. The settings must also
+    /// have been in force at least once since the process started: until then no submission can be admitted.
     pub(crate) fn quota_agrees(&self) -> bool {
         let replica = self.replication.replica.borrow();
         let Some(quota) = &self.quota else {
@@ -198,8 +198,8 @@
         admissions.decide(ledger, &job.id, &job.team, charge, self.now())
     }
 
-    /// Requests a transfer of units for a job, and waits until it has been made or has failed, for [`TRANSFER_WAIT_S`] at
-    /// most.
+    /// Requests a transfer of units for a job, and waits until it has been made or has failed, for [`TRANSFER_WAIT_S`]
+    /// at most.
     async fn wait_for_transfer(
         &self,
         quota: &QuotaAdmission,
--- a/src/controller/admission/quota_transfers.rs
+++ b/src/controller/admission/quota_transfers.rs
@@ -10,8 +10,8 @@
 use crate::controller::{Controller, STORE_BACKOFF_S};
 use crate::store::transaction::TxnOutcome;
 
-/// Maximum number of attempts of a transfer that a submission waits for: an attempt fails if another transfer changes the
-/// same accounts at the same time.
+/// Maximum number of attempts of a transfer that a submission waits for: an attempt fails if another transfer changes
+/// the same accounts at the same time.
 const TRANSFER_ATTEMPTS_MAX: u32 = 4;
 /// Longest interval between two rounds of transfers, in seconds.
 const TRANSFER_INTERVAL_S: f64 = 1.0;
@@ -26,7 +26,8 @@
 }
 
 impl Controller {
-    /// Transfers units: first those that submissions wait for, then those that other controllers requested or that are idle.
+    /// Transfers units: first those that submissions wait for, then those that other controllers requested or that are
+    /// idle.
     pub(crate) async fn transfer_quota(self: Rc<Self>) {
         let Some(quota) = &self.quota else {
             return;
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Transfers an amount to this controller's allotment of a team, if there are enough units. A failed attempt is planned
-    /// anew.
+    /// Transfers an amount to this controller's allotment of a team, if there are enough units. A failed attempt is
+    /// planned anew.
     async fn transfer_to_team(
         &self,
         quota: &QuotaAdmission,
@@ -101,7 +102,8 @@
         TransferResult::NotTransferred
     }
 
-    /// Plans a transfer to this controller's allotment of a team; None if the replica is not loaded or shows too few units.
+    /// Plans a transfer to this controller's allotment of a team; None if the replica is not loaded or shows too few
+    /// units.
     fn plan_transfer(
         &self,
         quota: &QuotaAdmission,
@@ -115,8 +117,8 @@
         transfer::refill(ledger, &admissions, team, amount, self.now())
     }
 
-    /// Makes the transfers that no submission waits for, until their share of the writes is used up or a submission waits
-    /// for units.
+    /// Makes the transfers that no submission waits for, until their share of the writes is used up or a submission
+    /// waits for units.
     async fn transfer_in_background(&self, quota: &QuotaAdmission) {
         while let Some(plan) = self.next_background_plan(quota) {
             let writes = plan.changes.len() as f64;
--- a/src/controller/users/cancellations.rs
+++ b/src/controller/users/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations of jobs.
+//! Cancellations: a user's request to cancel a job, recorded in the store as the job's end.
 
 use serde_json::value::{RawValue, to_raw_value};
 
@@ -56,8 +56,8 @@
     }
 }
 
-/// The transaction that creates the record of a job's end, provided that the job has no such record yet and that its own
-/// record still has the revision at which it was read.
+/// The transaction that creates the record of a job's end, provided that the job has no such record yet and that its
+/// own record still has the revision at which it was read.
 fn end_creation(id: &str, job_revision: u64, value: Box<RawValue>) -> Txn {
     Txn {
         conditions: vec![
--- a/src/controller/users/job_creation.rs
+++ b/src/controller/users/job_creation.rs
@@ -26,8 +26,8 @@
     TooLarge,
 }
 
-/// The transaction that stores a job, provided that the store has neither the job nor its end. If the job's dependencies
-/// don't fit into one value with its record, the same transaction stores them in values of their own.
+/// The transaction that stores a job, provided that the store has neither the job nor its end. If the job's
+/// dependencies don't fit into one value with its record, the same transaction stores them in values of their own.
 pub(crate) fn job_creation(
     job: &Submission,
     accepted_at_ms: u64,
--- a/src/controller/users/requests.rs
+++ b/src/controller/users/requests.rs
@@ -61,8 +61,8 @@
             .is_some_and(|age_s| age_s < within_s);
         let quota_agrees = self.quota_agrees();
         // During an outage of the state service no controller serves users better than this one, so it stays ready. If
-        // another controller reaches the state service, users should go there. Without heartbeats from any of the others
-        // this controller is probably partitioned from them too, and the others may reach the state service.
+        // another controller reaches the state service, users should go there. Without heartbeats from any of the
+        // others this controller is probably partitioned from them too, and the others may reach the state service.
         let is_outage = self.config.peers.is_empty()
             || self.peers.any_alive(now, within_s) && !self.peers.any_has_store(now, within_s);
         if is_initialized && quota_agrees && (has_store || is_outage) {
--- a/src/controller/users/submissions.rs
+++ b/src/controller/users/submissions.rs
@@ -110,8 +110,8 @@
             },
         );
         CreationOutcome::Answer(match outcome {
-            // The job may have ended before the store's answer arrived, and another controller may have reported that end
-            // to a user: this answer must not show an earlier state.
+            // The job may have ended before the store's answer arrived, and another controller may have reported that
+            // end to a user: this answer must not show an earlier state.
             TxnOutcome::Applied(_) => self
                 .final_state(&job.id)
                 .unwrap_or_else(|| self.accepted_answer(job)),
--- a/src/controller/users/writes.rs
+++ b/src/controller/users/writes.rs
@@ -1,5 +1,5 @@
-//! Writes to the store for users, and those of other routines that share their budget: paced to this controller's share of
-//! the store's write limit, with a bounded number in flight.
+//! Writes to the store for users, and those of other routines that share their budget: paced to this controller's share
+//! of the store's write limit, with a bounded number in flight.
 
 use std::cell::Cell;
 
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Reserves one write and returns how many seconds to wait before sending it. None if the wait would leave too little
-    /// of the time limit: such a write is refused at once instead of after a wait.
+    /// Reserves one write and returns how many seconds to wait before sending it. None if the wait would leave too
+    /// little of the time limit: such a write is refused at once instead of after a wait.
     fn acquire(&self, now: Time) -> Option<f64> {
         let wait_s = self.rate_limit.acquire(1.0, now);
         if wait_s > USER_WRITE_TIMEOUT_S / 2.0 {
@@ -55,9 +55,9 @@
         Some(wait_s)
     }
 
-    /// Adapts the rate to the outcome of a write. Users are not spread evenly over the controllers, so a controller with
-    /// many of them may exceed its share, up to the total rate, until the store refuses a write or doesn't answer; the
-    /// rate then falls back to the share.
+    /// Adapts the rate to the outcome of a write. Users are not spread evenly over the controllers, so a controller
+    /// with many of them may exceed its share, up to the total rate, until the store refuses a write or doesn't answer;
+    /// the rate then falls back to the share.
     fn adapt_rate(&self, outcome: &TxnOutcome) {
         self.rate_limit.set_rate(match outcome {
             TxnOutcome::Applied(_) | TxnOutcome::Conflict(_) | TxnOutcome::TooLarge => {
@@ -69,8 +69,8 @@
 }
 
 impl Controller {
-    /// Applies a transaction within this controller's budget for users. `Refused`: it was definitely not applied, as too
-    /// many writes are in flight or the store refused it. `Unknown`: the store gave no definite answer in time.
+    /// Applies a transaction within this controller's budget for users. `Refused`: it was definitely not applied, as
+    /// too many writes are in flight or the store refused it. `Unknown`: the store gave no definite answer in time.
     pub(crate) async fn write_for_user(&self, txn: &Txn) -> TxnOutcome {
         let in_flight = &self.user_writes.in_flight;
         if in_flight.get() >= USER_WRITES_MAX {
@@ -98,7 +98,7 @@
                     self.replication.record_store_contact(self.now());
                     return outcome;
                 }
-                // Repeating the transaction is safe: a user's only creates keys that are absent.
+                // Repeating the transaction is safe: those made for users only create keys that are absent.
                 TxnOutcome::Refused | TxnOutcome::Unknown => {
                     if outcome == TxnOutcome::Unknown {
                         failure = outcome;
--- a/src/controller/workers/contacts.rs
+++ b/src/controller/workers/contacts.rs
@@ -58,9 +58,9 @@
         contact.location.agent_epoch = heartbeat.agent_epoch;
     }
 
-    /// Records that a worker is redirected to a leader, and returns what its heartbeat shows of whether it can reach that
-    /// leader. A worker that sends a heartbeat here although it knows the leader's token, or was redirected to that leader
-    /// within the last `repeated_within_s` seconds, could not reach the leader.
+    /// Records that a worker is redirected to a leader, and returns what its heartbeat shows about whether it can reach
+    /// that leader. A worker that sends a heartbeat here although it knows the leader's token, or was redirected to
+    /// that leader within the last `repeated_within_s` seconds, could not reach the leader.
     pub fn record_redirect(
         &self,
         heartbeat: &Heartbeat,
@@ -109,9 +109,9 @@
             .collect()
     }
 
-    /// The next page of workers to report to another controller: those after the machine `last_reported`, which is set to
-    /// the last machine of the page, or to an empty string after the last page. At the start of each pass over all workers,
-    /// those silent for `forget_after_s` seconds are removed.
+    /// The next page of workers to report to another controller: those after the machine `last_reported`, which is set
+    /// to the last machine of the page, or to an empty string if there are no more. An empty `last_reported` starts a
+    /// new pass over all workers; those silent for `forget_after_s` seconds are removed first.
     pub fn next_page(
         &self,
         last_reported: &mut String,
@@ -136,7 +136,7 @@
     }
 }
 
-/// What a heartbeat to another controller than the leader shows of whether its worker can reach the leader.
+/// What a heartbeat to a controller that does not lead shows about whether its worker can reach the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LeaderReachability {
     /// Nothing: the worker may not know yet which controller leads.
--- a/src/controller/workers/delegation.rs
+++ b/src/controller/workers/delegation.rs
@@ -1,4 +1,5 @@
-//! Delegation: this controller answers workers in the name of a leader that they can't reach, see [`crate::fleet::zones`].
+//! Delegation: this controller answers workers in the name of a leader that they can't reach, see
+//! [`crate::fleet::zones`].
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -54,8 +55,9 @@
     requested: Signal,
 }
 
-/// Stop commands for all tasks in a heartbeat whose jobs have ended. The reply to the heartbeat renews the worker's lease:
-/// without these commands the tasks of a cancelled job would go on running beyond the time limit of a cancellation.
+/// Stop commands for all tasks in a heartbeat whose jobs have ended. The reply to the heartbeat renews the worker's
+/// lease: without these commands the tasks of a cancelled job would go on running beyond the time limit of a
+/// cancellation.
 pub(crate) fn stop_commands_for_ended_jobs(
     heartbeat: &Heartbeat,
     is_ended: impl Fn(&str) -> bool,
@@ -74,8 +76,8 @@
 }
 
 impl Controller {
-    /// Answers a heartbeat in the leader's name; None if no delegation for the worker's zone is in force, or if the worker
-    /// has seen a higher fencing token than the leader's.
+    /// Answers a heartbeat in the leader's name; None if no delegation for the worker's zone is in force, or if the
+    /// worker has seen a higher fencing token than the leader's.
     pub(crate) async fn answer_as_delegate(
         &self,
         heartbeat: &Heartbeat,
@@ -139,8 +141,8 @@
         }
     }
 
-    /// Checks delegations for the heartbeats that wait. A check answers only heartbeats that arrived before it began, and
-    /// heartbeats that wait for the same delegation share one check.
+    /// Checks delegations for the heartbeats that wait. A check answers only heartbeats that arrived before it began,
+    /// and heartbeats that wait for the same delegation share one check.
     pub(crate) async fn check_delegations(self: Rc<Self>) {
         loop {
             self.delegation_checks.requested.take().await;
--- a/src/controller/workers/delegation/tests.rs
+++ b/src/controller/workers/delegation/tests.rs
@@ -98,8 +98,8 @@
             assert_eq!((reply.fencing_token, reply.commands), (7, vec![stop]));
             assert_eq!(send_heartbeat(&mut worker).await.status, 421);
             assert_eq!(send_heartbeat(&mut worker).await.status, 503);
-            // No delegate answers in a zone without a delegation, nor a worker that has seen a higher fencing token. The
-            // store is not even asked then.
+            // No delegate answers in a zone without a delegation, nor a worker that has seen a higher fencing token.
+            // The store is not even asked then.
             worker.heartbeat.zone = "north".into();
             assert_eq!(send_heartbeat(&mut worker).await.status, 421);
             (worker.heartbeat.zone, worker.heartbeat.fencing_token) = ("south".into(), 8);
--- a/src/controller/workers/heartbeats.rs
+++ b/src/controller/workers/heartbeats.rs
@@ -85,7 +85,8 @@
         };
         self.leadership.round_due.set();
         if has_work_waiting {
-            // Tasks placed on the capacity that this heartbeat frees can be launched with its reply, once they are stored.
+            // Tasks placed on the capacity that this heartbeat frees can be launched with its reply, once they are
+            // stored.
             let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
             let hold_s = heartbeat_interval_s * REPLY_HOLD_HEARTBEATS;
             let round = self.leadership.round_completed.notified();
--- a/src/controller/workers/relay.rs
+++ b/src/controller/workers/relay.rs
@@ -57,8 +57,8 @@
 
     /// Records the agent epoch of a worker; returns whether it is new.
     fn record_agent_epoch(&mut self, heartbeat: &Heartbeat) -> bool {
-        // A worker that has not yet seen the leader's fencing token still executes commands of an earlier leader, so its
-        // agent epoch does not show what is gone from the machine.
+        // A worker that has not yet seen the leader's fencing token still executes commands of an earlier leader, so
+        // its agent epoch does not show what is gone from the machine.
         if heartbeat.fencing_token != self.fencing_token {
             return false;
         }
@@ -213,8 +213,8 @@
 }
 
 impl Controller {
-    /// Reports completed tasks and new agent epochs to the leader from zones that it can't reach, at most one record per
-    /// zone and heartbeat interval.
+    /// Reports completed tasks and new agent epochs to the leader from zones that it can't reach, at most one record
+    /// per zone and heartbeat interval.
     pub(crate) async fn write_relays(self: Rc<Self>) {
         let bytes_max = (self.config.deployment.state.value_kb * 1024.0) as usize;
         loop {
--- a/src/controller/workers/step_down_requests.rs
+++ b/src/controller/workers/step_down_requests.rs
@@ -1,4 +1,5 @@
-//! Requests to the leader to step down, written to the store when workers can't reach the leader but reach this controller.
+//! Requests to the leader to step down, written to the store when workers can't reach the leader but reach this
+//! controller.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -22,13 +23,13 @@
 const UNREACHABLE_WORKERS_MIN: usize = 2;
 /// Number of heartbeat intervals for which a worker counts among them.
 const UNREACHABLE_HEARTBEATS: f64 = 2.0;
-/// A worker that sends another heartbeat here within this number of heartbeat intervals after a redirect could not reach
-/// the leader.
+/// A worker that sends another heartbeat here within this number of heartbeat intervals after a redirect could not
+/// reach the leader.
 const REDIRECT_REPEAT_HEARTBEATS: f64 = 4.0;
 /// Number of heartbeat intervals without contact with any worker after which a leader grants a request to step down.
 const NO_CONTACT_HEARTBEATS: f64 = 1.3;
-/// Upper bound of that time, in seconds, for a leader that knows at least [`NO_CONTACT_S_MAX_MACHINES`] machines: some of
-/// them would send heartbeats in that time.
+/// Upper bound of that time, in seconds, for a leader that knows at least [`NO_CONTACT_S_MAX_MACHINES`] machines: some
+/// of them would send heartbeats in that time.
 const NO_CONTACT_S_MAX: f64 = 4.0;
 /// Minimum number of known machines for [`NO_CONTACT_S_MAX`] to apply.
 const NO_CONTACT_S_MAX_MACHINES: usize = 12;
@@ -45,8 +46,8 @@
 }
 
 impl Controller {
-    /// Records that a worker is redirected to the leader, and requests that the leader steps down if enough workers can't
-    /// reach it.
+    /// Records that a worker is redirected to the leader, and requests that the leader steps down if enough workers
+    /// can't reach it.
     pub(crate) fn record_redirect(&self, heartbeat: &Heartbeat, fencing_token: u64, now: Time) {
         let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
         let reachability = self.worker_contacts.record_redirect(
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Whether this controller's leader has had no contact with workers for so long that it must grant a request to step
-    /// down.
+    /// Whether this controller's leader has had no contact with workers for so long that it must grant a request to
+    /// step down.
     pub(crate) fn is_unreachable_for_workers(&self, leader: &Leader, now: Time) -> bool {
         let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
         let mut limit_s = heartbeat_interval_s * NO_CONTACT_HEARTBEATS;
