--- a/src/controller/admission/quota_admission.rs
+++ b/src/controller/admission/quota_admission.rs
@@ -30,18 +30,20 @@
 const BACKGROUND_TRANSFER_SHARE: f64 = 0.25;
 /// Maximum number of shortages reported in one heartbeat to another controller.
 const SHORTAGES_MAX: usize = 64;
-/// Answer while no quotas are in force, or quotas that differ from this controller's features file.
+/// Answer while no quotas are in force, while those in force differ from this controller's features file, or while the
+/// replica is not loaded.
 const NOT_IN_FORCE: &str = "quotas are not in force";
 /// Answer when the team's quota has too few free units for the job at present.
 const QUOTA_EXHAUSTED: &str = "the team's quota is used up";
-/// Answer when the job alone exceeds the largest quota that its team can have.
-const EXCEEDS_QUOTA: &str = "the job exceeds the team's quota";
+/// Answer when the job alone exceeds the largest quota that its team can have. Operators search for this text.
+const EXCEEDS_QUOTA: &str = "more than the team's quota";
 
 /// The state of admission quotas at a controller.
 pub(crate) struct QuotaAdmission {
     /// Decides which jobs are admitted to this controller's allotments.
     pub admissions: RefCell<Admissions>,
-    /// Plans the transfers that only the leader makes; unused while this controller does not lead.
+    /// Plans the transactions that only the leader makes, such as putting quota settings into force, reclaiming units
+    /// of lost controllers and returning borrowed units. Unused while this controller does not lead.
     pub supervisor: RefCell<Supervisor>,
     /// The charges of submissions that wait for units, by team.
     pub waiting_charges: RefCell<BTreeMap<Rc<str>, Vec<QuotaAmount>>>,
@@ -51,7 +53,8 @@
     pub transfer_settled: Notify,
     /// Paces the transfers that no submission waits for.
     pub background_rate: TokenBucket,
-    /// Whether the quotas of this controller's features file have been in force since the process started.
+    /// Whether [`Controller::quota_agrees`] has found the quotas of this controller's features file in force at least
+    /// once.
     have_been_in_force: Cell<bool>,
 }
 
--- a/src/controller/admission/quota_presence.rs
+++ b/src/controller/admission/quota_presence.rs
@@ -12,7 +12,7 @@
 use crate::store::client::LeaseRenewal;
 use crate::store::transaction::TxnOutcome;
 
-/// Duration of the presence's lease, in leases of the workers.
+/// Duration of the presence's lease, in durations of a worker's lease.
 const PRESENCE_LEASES: f64 = 1.0;
 /// Number of renewals within the duration of that lease.
 const RENEWALS_PER_LEASE: f64 = 3.0;
--- a/src/controller/admission/quota_transfers.rs
+++ b/src/controller/admission/quota_transfers.rs
@@ -21,7 +21,7 @@
 enum TransferResult {
     /// The units are in this controller's allotment.
     Transferred,
-    /// There are not enough units, or each attempt failed.
+    /// There are not enough units, each attempt failed, or the replica is not loaded.
     NotTransferred,
 }
 
@@ -42,7 +42,7 @@
             self.record_shortages_of_peers(quota);
             let differs = quota.differs_from_store(&self.replication.replica.borrow());
             if differs && !differed_before {
-                tracing::warn!("the quotas in force differ from this controller's features file");
+                tracing::warn!("the quotas in force are not those of this controller's file");
             }
             differed_before = differs;
             self.transfer_to_submissions(quota).await;
@@ -152,7 +152,8 @@
             .or_else(|| transfer::release_unused(ledger, &mut admissions, now))
     }
 
-    /// Sends a transfer, and waits until the replica shows its outcome; after a refusal, for a backoff.
+    /// Sends a transfer and waits until the replica shows its outcome. If the store refused the transfer, waits for a
+    /// backoff instead.
     async fn execute_plan(&self, quota: &QuotaAdmission, plan: &Plan) -> TxnOutcome {
         let Ok(txn) = transaction_of(plan, self.trusted_fencing_token()) else {
             return TxnOutcome::Refused;
--- a/src/controller/users/job_creation.rs
+++ b/src/controller/users/job_creation.rs
@@ -70,6 +70,7 @@
         .iter()
         .map(|id| id.len() + LIST_ITEM_OVERHEAD_BYTES)
         .max();
+    // The brackets of a list take 2 bytes.
     let ids_per_part = bytes_max.saturating_sub(2) / item_bytes_max.unwrap_or(1);
     ids.chunks(ids_per_part.max(1)).collect()
 }
--- a/src/controller/users/requests.rs
+++ b/src/controller/users/requests.rs
@@ -10,12 +10,14 @@
 use crate::store::replica::ReplicatedJob;
 
 /// Number of the workers' heartbeat intervals without an answer from the state service after which a controller is not
-/// ready, provided that other controllers still reach the state service.
+/// ready, unless there are no other controllers or their heartbeats show that none of them reaches the state service
+/// either.
 const STORE_LOST_HEARTBEATS: f64 = 1.5;
 /// Upper bound of that time, in seconds.
 const STORE_LOST_S_MAX: f64 = 4.5;
 
-/// Answer when no read barrier could be passed, so that the replica's state of a job may be out of date.
+/// Answer when a job's current state can't be determined: no read barrier could be passed, so that the replica may be
+/// out of date, or the replica does not show why the store rejected the job's creation.
 pub(crate) const STATE_UNKNOWN: &str = "the job's current state can't be read";
 
 impl Controller {
@@ -114,7 +116,6 @@
     }
 }
 
-/// The answer with the state of a job.
 pub(crate) fn job_answer(id: &str, job: &ReplicatedJob) -> Response {
     Response::json(200, &job.status(id))
 }
--- a/src/controller/users/submission_checks.rs
+++ b/src/controller/users/submission_checks.rs
@@ -1,4 +1,4 @@
-//! Checks of submissions that need only the settings and the machine types, not the store.
+//! Checks of submissions against the settings and the machine types. They send no request to the store.
 
 use std::collections::BTreeSet;
 
@@ -149,7 +149,7 @@
     {
         return Some(Infeasibility::SingleZone);
     }
-    // A maximum of 0 means that the team has no limit.
+    // A maximum of 0 means that the team has no limit for this resource.
     let exceeds =
         |per_task: f64, max: f64| max > 0.0 && per_task * concurrent_tasks > max + AMOUNT_TOLERANCE;
     if exceeds(job.cpus, team.cpus_max) || exceeds(job.gpus, team.gpus_max) {
--- a/src/controller/users/submissions.rs
+++ b/src/controller/users/submissions.rs
@@ -55,8 +55,8 @@
             return Response::error(422, &reason.to_string());
         }
         if !job.waits_on.is_empty() {
-            // The replica may lag behind the store: whether a job with this id was accepted is known only after a read
-            // that began after the request arrived.
+            // The replica may lag behind the store: whether this job or one of its dependencies was accepted is known
+            // only after a read that began after the request arrived.
             if self.read_barrier().await.is_err() {
                 return Response::retry_later(503, STATE_UNKNOWN, RETRY_S);
             }
--- a/src/controller/users/writes.rs
+++ b/src/controller/users/writes.rs
@@ -1,5 +1,6 @@
-//! Writes to the store for users, and those of other routines that share their budget: paced to this controller's share
-//! of the store's write limit, with a bounded number in flight.
+//! Writes to the store for users: paced to this controller's share of the store's write limit, with a bounded number in
+//! flight. Relays, step-down requests, quota transfers, the quota presence and the machine types are written within the
+//! same budget.
 
 use std::cell::Cell;
 
@@ -21,7 +22,7 @@
 pub(crate) struct UserWriteBudget {
     /// Paces the writes, initially at `share_rps`.
     rate_limit: TokenBucket,
-    /// The rate for all controllers together, in writes per second.
+    /// The rate for all controllers together, in writes per second: the upper bound of this controller's rate.
     total_rps: f64,
     /// This controller's equal share of that rate, in writes per second.
     share_rps: f64,
@@ -30,7 +31,7 @@
 }
 
 impl UserWriteBudget {
-    /// The budget for one of the controllers that share the part of the store's write limit that the leader leaves.
+    /// The budget of one controller: an equal share of the store's write limit without the leader's part.
     pub fn new(config: &Config) -> Self {
         let write_rps = config.deployment.state.write_rps;
         let nodes = config.deployment.nodes as f64;
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Reserves one write and returns how many seconds to wait before sending it. None if the wait would leave too
-    /// little of the time limit: such a write is refused at once instead of after a wait.
+    /// Reserves one write and returns how many seconds to wait before sending it. None if the wait would take more than
+    /// half of the time limit: such a write is refused at once instead of after a wait.
     fn acquire(&self, now: Time) -> Option<f64> {
         let wait_s = self.rate_limit.acquire(1.0, now);
         if wait_s > USER_WRITE_TIMEOUT_S / 2.0 {
@@ -70,7 +71,8 @@
 
 impl Controller {
     /// Applies a transaction within this controller's budget for users. `Refused`: it was definitely not applied, as
-    /// too many writes are in flight or the store refused it. `Unknown`: the store gave no definite answer in time.
+    /// too many writes are in flight, the budget is used up for too long, or the store refused it. `Unknown`: the store
+    /// gave no definite answer in time.
     pub(crate) async fn write_for_user(&self, txn: &Txn) -> TxnOutcome {
         let in_flight = &self.user_writes.in_flight;
         if in_flight.get() >= USER_WRITES_MAX {
@@ -98,7 +100,8 @@
                     self.replication.record_store_contact(self.now());
                     return outcome;
                 }
-                // Repeating the transaction is safe: those made for users only create keys that are absent.
+                // Repeating the transaction is safe, even if it was applied: it then fails on its conditions, such as
+                // the absence of the keys that it creates, or it writes the same values again.
                 TxnOutcome::Refused | TxnOutcome::Unknown => {
                     if outcome == TxnOutcome::Unknown {
                         failure = outcome;
--- a/src/controller/workers/contacts.rs
+++ b/src/controller/workers/contacts.rs
@@ -23,8 +23,8 @@
     pub heartbeat_at: Time,
     /// The last redirect of the worker to the leader; None if it was never redirected.
     pub redirect: Option<LeaderRedirect>,
-    /// When the worker last sent a heartbeat here because it could not reach the leader; None if its last redirect was
-    /// not a sign of that.
+    /// When the worker last sent a heartbeat here because it could not reach the leader; None if it was never
+    /// redirected, or if its last redirect did not show that it could not reach the leader.
     pub leader_unreachable_at: Option<Time>,
     /// The worker's machine, zone, address and agent epoch.
     pub location: WorkerLocation,
@@ -38,7 +38,7 @@
 }
 
 impl WorkerContacts {
-    /// Records a heartbeat.
+    /// Records a heartbeat. The zone and the address of a worker stay as its first heartbeat showed them.
     pub fn record(&self, heartbeat: &Heartbeat, now: Time) {
         let mut contacts = self.by_machine.borrow_mut();
         let contact = contacts
--- a/src/controller/workers/delegation.rs
+++ b/src/controller/workers/delegation.rs
@@ -30,7 +30,7 @@
 /// The result of comparing a delegation with the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DelegationStatus {
-    /// The delegation is in force, and the replica has reached the revision of the comparison that showed it.
+    /// The store has shown that the delegation is in force, and the replica has reached the revision of that answer.
     InForce,
     /// The leader has revoked the delegation, or another controller leads now.
     Revoked,
@@ -42,7 +42,7 @@
 struct DelegationCheck {
     /// The delegation under which the heartbeat would be answered.
     delegation: DelegationRef,
-    /// Sends the result to the request of the heartbeat.
+    /// Sends the result to the routine that answers the heartbeat.
     sender: oneshot::Sender<DelegationStatus>,
 }
 
--- a/src/controller/workers/delegation/tests.rs
+++ b/src/controller/workers/delegation/tests.rs
@@ -36,8 +36,9 @@
 }
 
 /// A delegate answers a heartbeat only if the store, read after the heartbeat arrived, shows that the delegation is in
-/// force. Otherwise it could renew a lease that a later leader takes for expired, and that leader would start elsewhere
-/// what still runs on the machine. As the answer renews the lease, it must carry stop commands for cancelled jobs.
+/// force. Otherwise it could renew a lease that a later leader considers expired, and that leader would start tasks
+/// elsewhere while they still run on the machine. As the answer renews the lease, it must carry stop commands for
+/// cancelled jobs.
 #[test]
 fn heartbeats_are_answered_for_the_leader_only_while_its_delegation_is_in_force() {
     let finished = Rc::new(Cell::new(false));
@@ -98,8 +99,8 @@
             assert_eq!((reply.fencing_token, reply.commands), (7, vec![stop]));
             assert_eq!(send_heartbeat(&mut worker).await.status, 421);
             assert_eq!(send_heartbeat(&mut worker).await.status, 503);
-            // No delegate answers in a zone without a delegation, nor a worker that has seen a higher fencing token.
-            // The store is not even asked then.
+            // A delegate answers neither a worker in a zone without a delegation nor a worker that has seen a higher
+            // fencing token. It does not ask the store in these cases.
             worker.heartbeat.zone = "north".into();
             assert_eq!(send_heartbeat(&mut worker).await.status, 421);
             (worker.heartbeat.zone, worker.heartbeat.fencing_token) = ("south".into(), 8);
--- a/src/controller/workers/heartbeats.rs
+++ b/src/controller/workers/heartbeats.rs
@@ -10,7 +10,7 @@
 /// Longest time that the reply to a heartbeat waits for a round of the leader, in heartbeat intervals.
 const REPLY_HOLD_HEARTBEATS: f64 = 0.15;
 
-/// The leader's decision on the reply to a heartbeat, once its commands are known.
+/// The leader's decision on the reply to a heartbeat, after the round that the reply waited for.
 enum LeaderReply {
     /// Reply with the commands; this renews the worker's lease.
     Commands,
@@ -29,7 +29,7 @@
 }
 
 impl Controller {
-    /// Answers a heartbeat.
+    /// Answers a heartbeat as the leader, as a delegate of the leader, or with a redirect to the leader.
     pub(crate) async fn handle_heartbeat(&self, body: &[u8]) -> Response {
         let Ok(heartbeat) = serde_json::from_slice::<Heartbeat>(body) else {
             return Response::error(400, "malformed heartbeat");
@@ -50,13 +50,13 @@
             return answer;
         }
         match leader {
-            Some((host, fencing_token)) if host != self.config.node => {
+            Some((node, fencing_token)) if node != self.config.node => {
                 if let Some(answer) = self.answer_as_delegate(&heartbeat, fencing_token).await {
                     return answer;
                 }
                 self.record_redirect(&heartbeat, fencing_token, now);
                 let redirect = Redirect {
-                    report_to: Some(&host),
+                    report_to: Some(&node),
                 };
                 Response::json(421, &redirect)
             }
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Answers a heartbeat as the leader; None if this controller no longer leads under that fencing token.
+    /// Answers a heartbeat as the leader; None if this controller does not lead under that fencing token. If it loses
+    /// the leadership while the reply waits for a round, the answer is 503.
     async fn answer_as_leader(
         &self,
         heartbeat: &Heartbeat,
@@ -77,9 +78,10 @@
             (commands, leader.has_work_waiting())
         })?;
         let Some(mut commands) = commands else {
-            // The heartbeat is not new: it is a late copy, or an answer to a direct command overtook it. In the second
-            // case the reply renews the worker's lease, so it must carry the stop commands for jobs that have ended.
-            // They do no harm at a worker that no longer waits for the reply.
+            // The heartbeat is not new: it is a late copy, or an answer to a direct command overtook it, or its machine
+            // has been returned to the cloud. If an answer overtook it, the reply renews the worker's lease and must
+            // carry the stop commands for jobs that have ended. They do no harm at a worker that no longer waits for
+            // the reply.
             let commands = self.stop_commands(heartbeat);
             return Some(heartbeat_reply(fencing_token, commands));
         };
@@ -111,7 +113,7 @@
         })
     }
 
-    /// Stop commands for all tasks in a heartbeat whose jobs have ended by this controller's replica.
+    /// Stop commands for all tasks in a heartbeat whose jobs have ended according to this controller's replica.
     pub(crate) fn stop_commands(&self, heartbeat: &Heartbeat) -> Vec<Command> {
         stop_commands_for_ended_jobs(heartbeat, |task| self.is_job_ended(task))
     }
--- a/src/controller/workers/relay.rs
+++ b/src/controller/workers/relay.rs
@@ -15,7 +15,7 @@
 use crate::store::records::{JobAssignments, RelayRecord, TaskRange};
 use crate::store::transaction::TxnOutcome;
 
-/// Maximum size of a relay record without its jobs and agent epochs, in bytes.
+/// Size allowed for a relay record without its jobs and agent epochs, in bytes.
 const RECORD_OVERHEAD_BYTES: usize = 128;
 /// Maximum size of a job in a record without its id and its ranges of tasks, in bytes.
 const JOB_OVERHEAD_BYTES: usize = 48;
@@ -27,7 +27,7 @@
 pub(crate) struct Relay {
     /// The fencing token of the leader that the relay is for.
     fencing_token: u64,
-    /// All tasks seen to be completed, by name and attempt: each is reported once.
+    /// Tasks that heartbeats showed as completed, by name and attempt, kept so that each is reported only once.
     completed: HashSet<(String, u64)>,
     /// Completed tasks that still have to be written, by job and attempt.
     pending_tasks: BTreeMap<(String, u64), BTreeSet<u32>>,
@@ -57,8 +57,9 @@
 
     /// Records the agent epoch of a worker; returns whether it is new.
     fn record_agent_epoch(&mut self, heartbeat: &Heartbeat) -> bool {
-        // A worker that has not yet seen the leader's fencing token still executes commands of an earlier leader, so
-        // its agent epoch does not show what is gone from the machine.
+        // The leader releases the attempts that a reported agent epoch shows to be gone from the machine. A worker that
+        // has not yet seen the leader's fencing token may still receive commands of an earlier leader, so its agent
+        // epoch does not show that.
         if heartbeat.fencing_token != self.fencing_token {
             return false;
         }
@@ -128,7 +129,7 @@
         jobs
     }
 
-    /// Returns the contents of a record that was not written to what still has to be written.
+    /// Makes the contents of a record pending again after its write failed.
     fn requeue(&mut self, record: RelayRecord) {
         self.pending_epochs.extend(record.agent_epochs);
         for job in &record.jobs {
@@ -192,7 +193,8 @@
         (!is_empty).then_some(record)
     }
 
-    /// Returns the contents of a record that was not written to its zone's relay, unless it was for an earlier leader.
+    /// Puts the contents of a record back into its zone's relay after the write failed, unless the relay is for another
+    /// leader now.
     fn requeue(&self, record: RelayRecord) {
         let mut relays = self.by_zone.borrow_mut();
         let relay = relays.get_mut(&record.zone);
@@ -208,7 +210,7 @@
     /// The record was stored, or dropped because the store rejected it as too large. Dropping it is safe: a relay only
     /// lets the leader know sooner.
     Settled,
-    /// The record must be written again.
+    /// The record was not stored, or the outcome is unknown: its contents must be written again.
     Failed,
 }
 
--- a/src/controller/workers/step_down_requests.rs
+++ b/src/controller/workers/step_down_requests.rs
@@ -21,7 +21,7 @@
 const REQUEST_INTERVAL_S_MAX: f64 = 1.5;
 /// Minimum number of workers that can't reach the leader for a request to be made.
 const UNREACHABLE_WORKERS_MIN: usize = 2;
-/// Number of heartbeat intervals for which a worker counts among them.
+/// Number of heartbeat intervals for which a worker counts as unable to reach the leader.
 const UNREACHABLE_HEARTBEATS: f64 = 2.0;
 /// A worker that sends another heartbeat here within this number of heartbeat intervals after a redirect could not
 /// reach the leader.
@@ -46,8 +46,8 @@
 }
 
 impl Controller {
-    /// Records that a worker is redirected to the leader, and requests that the leader steps down if enough workers
-    /// can't reach it.
+    /// Records that a worker is redirected to the leader, and requests the leader to step down if enough workers can't
+    /// reach it.
     pub(crate) fn record_redirect(&self, heartbeat: &Heartbeat, fencing_token: u64, now: Time) {
         let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
         let reachability = self.worker_contacts.record_redirect(
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Writes the requests that are due, each provided that the leader it concerns still leads. A leader that gets no
+    /// Writes the requests that are due, each on the condition that the same leader still leads. A leader that gets no
     /// heartbeats while other controllers get some should step down.
     pub(crate) async fn write_step_down_requests(self: Rc<Self>) {
         loop {
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Whether this controller's leader has had no contact with workers for so long that it must grant a request to
-    /// step down.
+    /// Whether this controller, as the leader, has had no contact with workers for so long that it must grant a request
+    /// to step down.
     pub(crate) fn is_unreachable_for_workers(&self, leader: &Leader, now: Time) -> bool {
         let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
         let mut limit_s = heartbeat_interval_s * NO_CONTACT_HEARTBEATS;
