--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -77,7 +77,8 @@
     /// The quantity that the objective measures.
     #[serde(rename = "kind")]
     pub kind: ObjectiveKind,
-    /// The class of jobs to which the objective applies; `None` stands for all classes.
+    /// The class of jobs to which the objective applies; `None` stands for all classes. At present, objectives without a
+    /// class have no effect, except those of the kind [`ObjectiveKind::Guarantee`], which ignores the class.
     #[serde(rename = "class", default)]
     pub class: Option<String>,
     /// Target in seconds; not used by [`ObjectiveKind::Deadline`].
@@ -92,8 +93,8 @@
 }
 
 impl Objective {
-    /// Target for the time from submission to the end of a job, in seconds. `None` if the objective is for another
-    /// class or doesn't measure the end of jobs.
+    /// Target for the time from submission to the end of a job, in seconds. `None` if the objective doesn't name the
+    /// class of the job, or doesn't measure the end of jobs.
     pub fn completion_target_s(&self, job: &Submission) -> Option<f64> {
         if self.class.as_deref() != Some(&job.class) {
             return None;
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -62,7 +62,7 @@
     },
 }
 
-/// A transaction (compare-and-swap): all changes are applied at one revision if all conditions hold, and none otherwise.
+/// A transaction (compare-and-swap): if all conditions hold, all changes are applied at one revision, otherwise none.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Txn {
     #[serde(rename = "If")]
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -95,8 +95,8 @@
     /// forgets all its tasks.
     #[serde(rename = "Shift")]
     pub agent_epoch: u64,
-    /// Sequence number within the agent epoch. Of two heartbeats, the one with the higher agent epoch is newer, and within
-    /// an agent epoch the one with the higher sequence number.
+    /// Sequence number within the agent epoch. Of two heartbeats, the one with the higher agent epoch is newer; in the
+    /// same agent epoch, the one with the higher sequence number is newer.
     #[serde(rename = "Tick")]
     pub sequence: u64,
     /// The highest fencing token that the worker has seen; initially 0.
@@ -137,7 +137,7 @@
         #[serde(rename = "WindDownS")]
         grace_s: f64,
     },
-    /// Removes an exited task from the heartbeats. The worker then no longer knows the attempt, so that a repeated launch
+    /// Removes an exited task from the heartbeats. The worker then no longer knows the attempt, so a repeated launch
     /// command would launch it again.
     #[serde(rename = "reap")]
     Forget {
