--- a/src/config.rs
+++ b/src/config.rs
@@ -4,7 +4,7 @@
 //! - [`settings`] defines the sections of the settings file, `validation` checks them;
 //! - [`tunables`] runs the operators' script;
 //! - [`features`] reads the features file and checks it against the settings;
-//! - [`error`] defines the errors of all of these; each is displayed in one line.
+//! - [`error`] defines the errors of the settings file and the script; each is displayed in one line.
 
 pub mod error;
 pub mod features;
@@ -58,8 +58,8 @@
 /// Maximum relative drift between the clocks of two hosts. The platform allows half of it for a single clock.
 const CLOCK_DRIFT_MAX: f64 = 0.001;
 
-/// Upper limit of the leader's lease, as a fraction of the workers' lease: a failover must be complete well before
-/// the workers' leases expire and they end their tasks.
+/// Upper limit of the leader's lease, as a fraction of a worker's lease: a failover must be complete well before the
+/// workers' leases expire, at which point the workers end their tasks.
 const LEADER_LEASE_PER_WORKER_LEASE: f64 = 0.3;
 
 /// Upper limit of the leader's lease, as a multiple of the interval between heartbeats.
@@ -89,7 +89,7 @@
         Ok(config)
     }
 
-    /// Duration of the leader's lease in the state service, in seconds.
+    /// Duration of the leader's lease in the state service, in seconds: the smaller of its two upper limits.
     pub fn leader_lease_s(&self) -> f64 {
         let workers = &self.deployment.workers;
         (workers.lease_s * LEADER_LEASE_PER_WORKER_LEASE)
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,11 +1,11 @@
-//! Errors in the settings file, the features file and the operators' script. Each is displayed in one line that
-//! names the file or field that the operator has to correct.
+//! Errors in the settings file and the operators' script, and errors of reading and parsing that the features file
+//! shares with them. Each is displayed in one line that names the file or field that the operator has to correct.
 
 use std::io;
 
 use super::file::{FILE_BYTES_MAX, first_line};
 
-/// Reason why the settings file or the operators' script can't be used.
+/// Reason why the settings file or the operators' script can't be used, or the features file can't be read or parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file can't be read.
@@ -71,7 +71,8 @@
     /// An amount is negative or not finite.
     #[error("must be finite and not negative, but is {0}")]
     Negative(f64),
-    /// A number of an objective is negative or not finite. The name of the field doesn't tell which objective.
+    /// A number of an objective is negative or not finite. The error doesn't tell which objective, because objectives
+    /// have no names.
     #[error("must be finite and not negative in every objective")]
     NegativeObjective,
     /// The limit on open sockets is lower than a controller needs.
@@ -85,7 +86,8 @@
     /// The leader's lease, whose duration is derived from the workers' intervals, would be too short to renew in time.
     #[error("lease_s or report_s is too short: the leader's lease could not be renewed in time")]
     LeaderLeaseTooShort,
-    /// The leader's lease and a worker's lease together may expire later than a cancellation must have taken effect.
+    /// The time allowed for a cancellation is too short for the worst case, in which first the leader's lease and then
+    /// a worker's lease must expire.
     #[error("must be longer than a failover plus the expiry of a worker's lease")]
     CancellationTooShort,
     /// A tunable is outside its range.
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,5 +1,5 @@
-//! Sections of the settings file. Each `serde(rename)` is the name of the field in the file; unknown fields are
-//! ignored.
+//! Sections of the settings file. Each `serde(rename)` fixes the name of a field in the file, whatever its name in
+//! Rust, which `capervale check` prints. Unknown fields are ignored.
 
 use std::net::SocketAddr;
 
@@ -64,27 +64,27 @@
     Finished,
     /// Time from submission to the end of the job, relative to the job's own deadline.
     Deadline,
-    /// Time from submission to the start of tasks, for jobs within their team's guarantee.
+    /// Time to the start of tasks, for jobs within their team's guarantee.
     Guarantee,
     /// A kind that this version doesn't know, and ignores.
     #[serde(untagged)]
     Other(String),
 }
 
-/// A service-level objective for a class of jobs.
+/// A service-level objective.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
     /// The quantity that the objective measures.
     #[serde(rename = "kind")]
     pub kind: ObjectiveKind,
-    /// The class of jobs to which the objective applies; `None` stands for all classes. At present, objectives without a
-    /// class have no effect, except those of the kind [`ObjectiveKind::Guarantee`], which ignores the class.
+    /// The class of jobs to which the objective applies. [`ObjectiveKind::Guarantee`] ignores this field and
+    /// applies to all classes. `None` stands for all classes, but the other kinds have no effect without a class.
     #[serde(rename = "class", default)]
     pub class: Option<String>,
     /// Target in seconds; not used by [`ObjectiveKind::Deadline`].
     #[serde(rename = "within_s", default)]
     pub within_s: Option<f64>,
-    /// Fraction of jobs or tasks that should meet the target.
+    /// Fraction of jobs or tasks that should meet the target; checked, but not used otherwise.
     #[serde(rename = "share", default)]
     pub share: Option<f64>,
     /// For [`ObjectiveKind::Deadline`]: the target as a multiple of the job's own deadline; `None` stands for 1.
@@ -195,7 +195,7 @@
 /// Resource limits of a controller's process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Limits {
-    /// CPU time per second, in cores; may be less than one core.
+    /// Maximum CPU use, in cores; may be a fraction of a core.
     #[serde(rename = "cores")]
     pub cores: f64,
     /// Maximum resident memory, in MB.
--- a/src/config/tunables.rs
+++ b/src/config/tunables.rs
@@ -15,13 +15,15 @@
     pub large_share: f64,
     /// Time without a heartbeat after which a machine counts as silent and is replaced, in heartbeat intervals.
     pub silent_reports: f64,
-    /// Reserve of machines for expected jobs, relative to the estimated demand.
+    /// Reserve of machines for expected tasks. If tasks run at least as long as a machine boots, a multiple of the
+    /// tasks that arrive during a boot; for shorter tasks, a multiple of the standard deviation of the demand.
     pub spare_ratio: f64,
     /// Time that a surplus machine is kept before it is returned, as a multiple of its boot time.
     pub idle_ratio: f64,
-    /// Time after its rental until which a booting machine counts as future capacity, as a multiple of its boot time.
+    /// Time after the rental during which a machine that is still booting counts as future capacity, as a multiple of
+    /// its boot time.
     pub late_boots: f64,
-    /// Time after its rental at which a machine that has not booted is returned, as a multiple of its boot time.
+    /// Time after the rental at which a machine that still has not booted is returned, as a multiple of its boot time.
     pub lost_boots: f64,
 }
 
@@ -43,8 +45,8 @@
     }
 }
 
-/// Upper bound of ρ: from there on, a task of the lowest priority could be refused although a machine has enough
-/// free capacity.
+/// Upper bound of ρ. With ρ above 1/(e − 1) ≈ 0.582, the price of a machine could reach 1 before the machine is full:
+/// a task of the lowest priority would be refused although the machine has enough free capacity.
 const RHO_MAX: f64 = 0.58;
 
 /// Maximum memory that a script may use, in bytes.
@@ -113,7 +115,7 @@
         Ok(())
     }
 
-    /// Checks that each value is within its range.
+    /// Checks that each value is within its range, and that weights don't decrease with priority.
     pub(super) fn check(&self) -> Result<(), ConfigError> {
         if !(self.rho > 0.0 && self.rho < RHO_MAX) {
             let problem = ValueProblem::NotBetween {
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -9,7 +9,7 @@
 /// Minimum number of sockets with which a controller can serve users, workers and peers.
 const SOCKETS_MIN: usize = 16;
 
-/// Checks all settings of the file, and the tunables.
+/// Checks the settings of the file, and the tunables, which have their defaults as long as no script has run.
 pub(super) fn check(config: &Config) -> Result<(), ConfigError> {
     let deployment = &config.deployment;
     if config.node.is_empty() {
--- a/src/main.rs
+++ b/src/main.rs
@@ -70,10 +70,11 @@
     /// The features file can't be read or is invalid.
     #[error(transparent)]
     Features(#[from] FeaturesError),
-    /// The controller can't start: an address is in use, or the system can't provide an event loop.
+    /// The controller can't start: it can't listen at one of its addresses, or the event loop can't run.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The quotas can't be read or ended: the feature is disabled, or the state service is unreachable.
+    /// The quotas can't be read or ended: the feature is disabled, the state service is unreachable, or the event loop
+    /// can't run.
     #[error(transparent)]
     Report(#[from] ReportError),
 }
@@ -91,8 +92,8 @@
     }
 }
 
-/// Initializes logging to standard error, at the level that the environment variable `LOG_LEVEL` names. `info` is used
-/// instead of an invalid level, because a mistake in the log level must not keep a controller from serving.
+/// Initializes logging to standard error, at the level that the environment variable `LOG_LEVEL` names. The level is
+/// `info` if the variable is unset or invalid: a mistake in the log level must not keep a controller from serving.
 fn init_logging() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
     tracing_subscriber::fmt()
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -1,4 +1,4 @@
-//! Messages and paths of the wire protocol, one module per communication partner.
+//! The wire protocol: messages, with one module per communication partner, and HTTP paths.
 //!
 //! The names that are sent appear only here, as serde renames; the rest of the code uses the usual terms of cluster
 //! schedulers.
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -83,12 +83,13 @@
 /// A machine in the cloud's list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedMachine {
+    /// Name of the machine, as in [`MachineNames`] and in heartbeats.
     #[serde(rename = "Uid")]
     pub id: String,
-    /// Address of the worker on it.
+    /// Address at which the worker on the machine accepts direct commands.
     #[serde(rename = "Addr")]
     pub addr: String,
-    /// Name of its machine type.
+    /// Name of the machine type.
     #[serde(rename = "Rig")]
     pub type_name: String,
     #[serde(rename = "Yard")]
@@ -96,10 +97,10 @@
     /// True for a spot machine.
     #[serde(rename = "Loaner")]
     pub spot: bool,
-    /// State at the time that the list shows, which is in the past (see [`MachineList`]).
+    /// State at the time of the list's snapshot, which is in the past (see [`MachineList`]).
     #[serde(rename = "Status")]
     pub state: MachineState,
-    /// Seconds from the rental request to the time that the list shows.
+    /// Seconds from the rental request to the time of the list's snapshot.
     #[serde(rename = "HeldS", default)]
     pub age_s: f64,
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -38,7 +38,7 @@
     /// Class of the job: service-level objectives apply to classes.
     #[serde(rename = "Jobclass")]
     pub class: String,
-    /// The team whose quota applies.
+    /// Name of the team whose guarantee, limits and quota apply.
     #[serde(rename = "Crew")]
     pub team: String,
     #[serde(rename = "Shape")]
@@ -134,7 +134,7 @@
     /// Number of completed tasks; for display only.
     #[serde(rename = "done")]
     pub done: u32,
-    /// Number of running tasks; for display only.
+    /// Number of tasks that are assigned to machines, where they are or may be running; for display only.
     #[serde(rename = "running")]
     pub running: u32,
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -8,7 +8,7 @@
     /// Waiting for its image to be fetched.
     #[serde(rename = "pulling")]
     Fetching,
-    /// Waiting for the other tasks of its gang to start; only tasks of gangs have this state.
+    /// Waiting for the other tasks of its gang, in the same attempt, to start. Only tasks of gangs have this state.
     #[serde(rename = "waiting")]
     Waiting,
     /// Running. A task of a gang stays in this state while it is being stopped, until it exits.
@@ -17,7 +17,7 @@
     /// Saving a checkpoint after a stop command.
     #[serde(rename = "saving")]
     Saving,
-    /// No longer running; see [`TaskStatus::exit_reason`].
+    /// No longer running, or refused at its launch; see [`TaskStatus::exit_reason`].
     #[serde(rename = "exited")]
     Exited,
 }
@@ -68,7 +68,7 @@
     /// `None` until the task has exited.
     #[serde(rename = "Cause", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
-    /// True if the task saved a checkpoint when it was stopped.
+    /// True if the task saved a checkpoint when it was stopped; `None` if the worker doesn't report it.
     #[serde(rename = "Saved", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
