--- a/src/tests/dependency_graphs.rs
+++ b/src/tests/dependency_graphs.rs
@@ -53,9 +53,10 @@
         // All jobs depend on the first one, and the last one depends on all others.
         1 if index + 1 < JOBS_MAX => vec![0],
         1 => (1..index).collect(),
-        // A ladder of diamonds.
+        // A ladder of diamonds: job 3n depends on 3n-1 and 3n-2, which both depend on 3n-3.
         2 if index.is_multiple_of(3) => vec![index - 1, index - 2],
         2 => vec![index - index % 3],
+        // Up to three dependencies at random.
         _ => {
             let count = rng.random_range(0..4);
             (0..count).map(|_| rng.random_range(0..index)).collect()
@@ -254,12 +255,14 @@
         let may_end: Vec<usize> = (0..accepted)
             .filter(|index| {
                 let job = &jobs[*index];
-                let is_cancelled = job.end == Some(JobEnd::Cancelled);
+                let has_cancelled_end = job.end == Some(JobEnd::Cancelled);
                 let dependencies_ended = job
                     .dependencies
                     .iter()
                     .all(|dependency| ended.contains(dependency));
-                job.end.is_some() && !ended.contains(index) && (is_cancelled || dependencies_ended)
+                job.end.is_some()
+                    && !ended.contains(index)
+                    && (has_cancelled_end || dependencies_ended)
             })
             .collect();
         revision += 1;
@@ -363,12 +366,18 @@
         for (index, job) in jobs.iter().enumerate().filter(|(_, j)| j.end.is_none()) {
             let known = &loading_leader.jobs[&loading_leader.job_index(&job.spec.id).unwrap()];
             if job.has_submission_time {
-                let off_s = (known.submitted_at - submitted_at(index)).abs();
-                assert!(off_s <= CLOCK_SKEW_S + 0.002, "{}: {off_s}", job.spec.id);
+                let error_s = (known.submitted_at - submitted_at(index)).abs();
+                // Both wall-clock times are rounded down to whole milliseconds.
+                assert!(
+                    error_s <= CLOCK_SKEW_S + 0.002,
+                    "{}: {error_s}",
+                    job.spec.id
+                );
             } else {
                 assert_eq!(known.submitted_at, now, "{}", job.spec.id);
             }
         }
+        // Jobs are added one by one only in graphs without ends.
         if jobs.iter().any(|j| j.end.is_some()) {
             continue;
         }
@@ -393,7 +402,7 @@
 }
 
 /// The propagation must follow each dependency once, four in each rung. A recursive walk follows each path through the
-/// ladder, of which there are 2^100 here, and would practically never end.
+/// ladder, of which there are 2^100 here, and would not end in any practical time.
 #[test]
 fn requirements_of_a_ladder_of_diamonds_propagate_in_one_pass() {
     const RUNGS: usize = 100;
--- a/src/tests/scenarios.rs
+++ b/src/tests/scenarios.rs
@@ -1,5 +1,5 @@
 //! Failure scenarios of the leader's state machine: simulated clock, in-memory state service, scripted workers. Nothing
-//! runs concurrently: each test calls the leader at chosen moments, in seconds.
+//! runs concurrently: each test calls the leader at chosen times, which are in seconds.
 
 mod direct_commands;
 mod machines;
@@ -48,8 +48,8 @@
     (store, leader, worker)
 }
 
-/// Answers the leader's cloud calls with failures up to the first that deletes (returns) machines, and gives the names
-/// of these machines. The deletion itself gets no answer. The result is empty if the leader deletes nothing.
+/// Answers the leader's cloud calls with failures until one asks the cloud to delete machines, which is how the leader
+/// returns them. Gives the names of these machines, without an answer to that call; empty if there is no such call.
 fn fail_cloud_calls_until_deletion(leader: &mut Leader, now: f64) -> Vec<String> {
     while let Some(call) = leader.next_cloud_call(now) {
         match call {
--- a/src/tests/scenarios/direct_commands.rs
+++ b/src/tests/scenarios/direct_commands.rs
@@ -64,7 +64,7 @@
 }
 
 /// A direct launch without an answer may still be delivered. If the task were assigned to another machine, or the
-/// worker forgot the failed attempt, the delayed command could start the task while it also runs elsewhere.
+/// worker were told to forget the failed attempt, the delayed command could start the task while it runs elsewhere.
 #[test]
 fn a_task_with_a_launch_in_doubt_stays_assigned_and_its_exit_is_not_forgotten() {
     let (mut store, mut leader, mut worker, message) = direct_launch();
@@ -98,7 +98,7 @@
             .iter()
             .any(|t| t.exit_reason == Some(ExitReason::Error))
     );
-    // The worker restarts: it lists no attempts of the former agent epoch, and rejects commands that were sent to it.
+    // The worker restarts. In its new agent epoch it lists no former attempts and rejects commands to the former epoch.
     worker.heartbeat.agent_epoch += 1;
     worker.heartbeat.tasks.clear();
     worker.send_heartbeat(&mut leader, now + 1.0);
@@ -184,7 +184,8 @@
     store.schedule_and_write(&mut leader, 100.0);
     assert!(!is_schedulable(&leader, 100.0));
     assert_eq!(leader.jobs.values().next().unwrap().assigned_tasks, 0);
-    // The worker sends two heartbeats and starts the task; after that only its answers to direct commands arrive.
+    // The worker sends two heartbeats and starts the task. After that only its answers to direct commands arrive, and
+    // show a new agent epoch.
     worker.send_heartbeat(&mut leader, 101.0);
     store.schedule_and_write(&mut leader, 101.0);
     worker.send_heartbeat(&mut leader, 102.0);
--- a/src/tests/scenarios/machines.rs
+++ b/src/tests/scenarios/machines.rs
@@ -61,8 +61,8 @@
 }
 
 /// A leader that receives no heartbeats at all can't tell whether the machines or its own network failed. If it
-/// returned the silent machines as lost, a network fault of the leader alone would cost a large part of the fleet. One
-/// silent machine among others that send heartbeats is lost and returned.
+/// returned the silent machines as lost, a network fault of the leader alone would cost half of the fleet. One silent
+/// machine among others that send heartbeats is lost and returned.
 #[test]
 fn a_leader_without_heartbeats_keeps_its_machines_but_a_silent_machine_is_returned() {
     for all_silent in [true, false] {
@@ -193,9 +193,10 @@
     assert!(now < 30.0, "{now}");
 }
 
-/// The network may deliver a heartbeat twice. If the reply to the second copy carried launches, nobody would receive
-/// them, and the leader would take the tasks for launched. A copy from before a launch doesn't list the launched tasks:
-/// if the leader took it for new, it would free tasks that are running.
+/// The network may deliver a heartbeat twice; a copy of the latest one has the same sequence number. If the reply to
+/// the second copy carried launches, nobody would receive them, and the leader would take the tasks for launched. A
+/// copy from before a launch doesn't list the launched tasks: if the leader took it for new, it would free tasks that
+/// are running.
 #[test]
 fn repeated_and_late_heartbeats_get_no_commands_and_free_no_tasks() {
     let mut store = FakeStore::default();
@@ -350,8 +351,9 @@
 }
 
 /// Most of a fleet fails at once, as in a wave of spot preemptions. The leader first assumes a fault of its own
-/// network, as so few machines send heartbeats. If it kept to that without a time limit, the lost machines would never
-/// be replaced.
+/// network, as so few machines send heartbeats. If it kept to that without a time limit, the heartbeats of the
+/// remaining machines would never be trusted as evidence, and the lost machines would never be replaced. The limit is
+/// twice the time after which a worker's lease has expired.
 #[test]
 fn machines_that_fail_together_are_returned_after_two_worker_leases() {
     let mut store = FakeStore::default();
--- a/src/tests/scenarios/placement_order.rs
+++ b/src/tests/scenarios/placement_order.rs
@@ -72,7 +72,7 @@
     );
 }
 
-/// If late jobs came first, every job behind them would be late as well. They must not wait forever either.
+/// If late jobs came first, every job behind them would be late as well. But late jobs must not wait forever either.
 #[test]
 fn jobs_that_can_still_meet_their_objective_precede_late_ones_for_a_limited_time() {
     let mut store = FakeStore::default();
@@ -87,7 +87,8 @@
         leader.add_stored_job(&id.into(), &replica.jobs[id], 100.0);
     }
     assert_eq!(job_ids_in_scheduling_order(&leader, 100.0), ["j-2", "j-1"]);
-    // Late jobs become due again after some time.
+    // At 175 s both jobs are late. A late job is due again after a multiple of its objective, so that the older one
+    // comes first.
     assert_eq!(job_ids_in_scheduling_order(&leader, 175.0), ["j-1", "j-2"]);
 }
 
@@ -243,8 +244,8 @@
         .collect()
 }
 
-/// If a job's tasks are spread over all machines, each machine fetches the image of every job, and most of a full fleet
-/// is occupied by tasks that wait for their image.
+/// If a job's tasks were spread over all machines, each machine would fetch a dozen images at once, and most of a full
+/// fleet would be occupied by tasks that wait for their image.
 #[test]
 fn tasks_are_placed_where_their_image_is_cached_or_being_fetched() {
     let mut store = FakeStore::default();
--- a/src/tests/scenarios/scaling.rs
+++ b/src/tests/scenarios/scaling.rs
@@ -15,7 +15,8 @@
     let mut store = FakeStore::default();
     store.submit(&job("j-1", 40));
     let mut leader = store.elect("n1", 100.0);
-    // Number of rental requests at this moment.
+    // Answers the leader's cloud calls at this moment, with the given machine list; returns the number of rental
+    // requests.
     let count_rentals = |leader: &mut Leader, now: f64, listed: &str| {
         leader.maintain_fleet(now);
         let mut rentals = 0;
@@ -36,6 +37,7 @@
     };
     let machine = r#"[{"Uid":"i-1","Addr":"127.0.0.1:9","Rig":"big","Yard":"north","Loaner":false,
         "Status":"running","HeldS":300.0}]"#;
+    // The listed machine sends no heartbeats. The leader waits for them for 5 s, the lag of the machine list.
     assert_eq!(count_rentals(&mut leader, 100.0, machine), 0);
     assert_eq!(count_rentals(&mut leader, 101.0, machine), 0);
     assert!(count_rentals(&mut leader, 106.0, machine) > 0);
@@ -45,7 +47,7 @@
     assert_eq!(count_rentals(&mut leader, 200.0, "[]"), 0);
     assert!(count_rentals(&mut leader, 201.0, "[]") > 0);
     // The same holds when the first machines that this leader rented are booting. They send no heartbeats yet, and the
-    // remaining rentals must not wait for these.
+    // remaining rentals must not wait for their heartbeats.
     leader.fleet.get_or_insert("i-9", "north", 201.0);
     store.submit(&job("j-2", 400));
     let stored = store.replica().jobs["j-2"].clone();
--- a/src/tests/scenarios/tasks.rs
+++ b/src/tests/scenarios/tasks.rs
@@ -98,7 +98,7 @@
 }
 
 /// If a worker forgot an exited attempt before it has seen the new leader's fencing token, a late launch of the former
-/// leader would start the attempt once more.
+/// leader would start the attempt once more. A request for contact with a worker must not launch tasks.
 #[test]
 fn an_exit_found_at_a_failover_is_forgotten_only_after_fencing_and_contact_requests_never_launch() {
     let (mut store, mut old, mut worker) = assign_without_launch(&job("j-1", 1));
@@ -118,7 +118,7 @@
         "{second_reply:?}"
     );
 
-    // A direct call that is requested only to make contact with the worker carries no launch.
+    // This worker has already made contact, so the request leads to no direct call.
     store.schedule_and_write(&mut new, 30.0);
     new.fleet
         .request_contact("i-1", "north", "127.0.0.1:9", 1, 30.0);
@@ -251,7 +251,8 @@
     exchange_heartbeats(&mut other, &mut new, 11.0);
     store.schedule_and_write(&mut new, 11.0);
     assert_eq!(count_launches(&other.send_heartbeat(&mut new, 12.0)), 0);
-    // The first machine sends no heartbeats. Its tasks count until its worker's lease has expired.
+    // The first machine sends no heartbeats. Its tasks count until its worker's lease has expired: 20 s and
+    // a small margin after the election at 10 s.
     new.expire_leases(10.0 + 20.0);
     store.schedule_and_write(&mut new, 30.0);
     exchange_heartbeats(&mut other, &mut new, 30.0);
--- a/src/tests/scenarios/writes.rs
+++ b/src/tests/scenarios/writes.rs
@@ -301,6 +301,8 @@
     let mut end_delay_s = None;
     for step in 0..800_u32 {
         let now = f64::from(step) * 0.05;
+        // In each step of 0.05 s one task of each of two jobs completes, so that all 50 jobs have one completion in 25
+        // steps.
         for completion in 0..2 {
             let id = &ids[(2 * step + completion) as usize % ids.len()];
             let key = (leader.job_index(id).unwrap(), step / 25, 1).into();
@@ -318,7 +320,7 @@
             );
         }
         if end_delay_s.is_none() && store.stored_end("j-100").is_some() {
-            // Its only task completes at 20 s.
+            // The only task of the job completes at 20 s, in step 400.
             end_delay_s = Some(now - 20.0);
         }
     }
--- a/src/tests/scenarios/zones.rs
+++ b/src/tests/scenarios/zones.rs
@@ -42,6 +42,7 @@
         while let Some(call) = leader.next_cloud_call(now) {
             let answer = match &call {
                 CloudCall::Rent(rent, _) => {
+                    // By 24 s the zone counts as partitioned, and its machines have not been returned yet.
                     if now > 24.0 && returned_at.is_empty() {
                         rental_zones.push(rent.zone.clone());
                     }
@@ -239,16 +240,17 @@
     let before = assigned_tasks(&leader);
     leader.on_relay(&record, 20.0);
     assert_eq!(assigned_tasks(&leader), before);
-    // A relay to another term's leader is ignored.
+    // The next leader ignores a relay that a delegate wrote for the former leader.
     let mut next = store.elect("n1", 21.0);
     let before = assigned_tasks(&next);
     next.on_relay(&record, 21.0);
     assert_eq!(assigned_tasks(&next), before);
 }
 
-/// A leader that is elected during a partition knows the machines behind it from the assignment log only, which doesn't
-/// hold the agent epochs in which the tasks were started. The first relayed agent epoch therefore doesn't show that the
-/// worker restarted; only a later one does, and frees the tasks.
+/// A relayed agent epoch shows that the worker has seen the leader's fencing token in that epoch. A leader that is
+/// elected during a partition knows the machines behind it from the assignment log only, which doesn't hold the agent
+/// epochs in which the tasks were started: they may run in the first epoch that is relayed. Only a later epoch shows
+/// that the worker restarted, and frees the tasks.
 #[test]
 fn the_first_relayed_agent_epoch_frees_no_tasks() {
     let (mut store, _, mut north, south) = partitioned_south();
--- a/src/tests/state_limits.rs
+++ b/src/tests/state_limits.rs
@@ -92,15 +92,15 @@
             // The factor of 2 covers the split, which counts each id as the longest one and may put one id less into a
             // value than would fit.
             let too_large = bytes * 2.0 + 1024.0 > bytes_max.min(TXN_BYTES as f64);
-            // The other fields can't be split: they must fit one value.
+            // The other fields can't be split: they must fit one value, with up to 64 bytes that the record adds.
             let without_dependencies = Submission {
                 waits_on: Vec::new(),
                 ..spec.clone()
             };
-            let first_bytes =
+            let first_value_bytes =
                 serde_json::to_vec(&without_dependencies).unwrap().len() as f64 + 64.0;
             assert!(
-                too_large || first_bytes > limits.value_kb * 1024.0,
+                too_large || first_value_bytes > limits.value_kb * 1024.0,
                 "{limits:?}"
             );
             continue;
@@ -183,7 +183,8 @@
 }
 
 /// All transactions of leaders keep to the limits while jobs with many tasks and long machine names run to their end,
-/// also across a failover. All jobs end, although records may have to be split under small limits.
+/// also across a failover at 15 s. All jobs end, although records may have to be split under small limits: the new
+/// leader must read all of them from the store.
 #[test]
 fn transactions_of_leaders_fit_the_limits_and_all_jobs_end() {
     for seed in 0..10 {
