--- a/src/test_support.rs
+++ b/src/test_support.rs
@@ -103,7 +103,7 @@
         self.revision
     }
 
-    /// Stores a submission as accepted.
+    /// Stores a submission as an accepted job.
     pub fn submit(&mut self, spec: &Submission) {
         self.put(keys::job(&spec.id), spec);
     }
@@ -155,13 +155,13 @@
         }
     }
 
-    /// How a job has ended according to the store; none while it is open.
+    /// How a job has ended according to the store; None if the job is open or unknown.
     pub fn stored_end(&self, id: &str) -> Option<JobEnd> {
         self.replica().jobs.get(id)?.end.map(|record| record.end)
     }
 }
 
-/// A worker that executes commands at once: its tasks run until a command or [`Self::exit_task`] ends them.
+/// A worker that executes commands at once. Its tasks run until a stop command or [`Self::exit_task`] ends them.
 pub struct FakeWorker {
     /// The current state of the worker; [`Self::next`] increases its sequence number and returns a copy.
     pub heartbeat: Heartbeat,
--- a/src/tests/random_faults.rs
+++ b/src/tests/random_faults.rs
@@ -34,9 +34,9 @@
 use crate::test_support::{FakeStore, FakeWorker, job};
 
 const STEP_S: f64 = 0.25;
-/// Faults start, and users submit and cancel jobs, only before this time.
+/// New faults, submissions and cancellations occur only before this time.
 const FAULT_PHASE_S: f64 = 240.0;
-/// A job that has not ended by this time never ends.
+/// A run ends at this time. A job that is still open then is a violation.
 const SIMULATION_END_S: f64 = 620.0;
 /// A worker waits this long for the reply to a heartbeat.
 const REPLY_TIMEOUT_S: f64 = 4.0;
@@ -95,7 +95,7 @@
     Delegations,
 }
 
-/// A message in flight. Nodes are given by their index in [`World::nodes`].
+/// A message in flight. `node_index` and `sender` are indexes in [`World::nodes`].
 enum Message {
     /// Heartbeat of a worker to a node.
     Heartbeat {
@@ -120,13 +120,15 @@
         fencing_token: u64,
         machine_name: String,
         direct_commands: DirectCommands,
+        /// False for late and duplicate copies: the sender gets its outcome without them.
         expects_reply: bool,
     },
     /// Outcome of direct commands, for the leader that sent them.
     DirectOutcome {
         node_index: usize,
         fencing_token: u64,
-        machine: u32,
+        /// Index of the machine in the leader's fleet.
+        machine_index: u32,
         outcome: DirectCommandOutcome,
     },
     /// Transaction of a leader to the state service.
@@ -134,6 +136,7 @@
         node_index: usize,
         fencing_token: u64,
         txn: Rc<Txn>,
+        /// False for late and duplicate copies: the sender gets its outcome without them.
         expects_reply: bool,
     },
     /// Outcome of a transaction, for the leader that sent it.
@@ -166,9 +169,9 @@
 struct Node {
     down_until: f64,
     paused_until: f64,
-    /// The state of its term, from its election until it learns that the term has ended.
+    /// The node's leader state, from its election until it crashes or learns that its term has ended.
     leader: Option<Leader>,
-    /// Until when the node relies on its leader lease.
+    /// Time until which the node relies on its leader lease.
     lease_trusted_until: f64,
     renewal_due_at: f64,
     maintenance_due_at: f64,
@@ -179,22 +182,23 @@
 /// A machine and the worker on it.
 struct Worker {
     fake: FakeWorker,
-    /// For each attempt (task, attempt number): when its image is fetched, and when it ends, once it runs.
+    /// For each attempt (task, attempt number): the time at which its image is fetched, and the time at which it ends,
+    /// which is None until it runs.
     attempt_times: BTreeMap<(String, u64), (f64, Option<f64>)>,
-    /// The node that it sends its heartbeats to.
+    /// The node to which the worker sends its heartbeats.
     node_index: usize,
-    /// When it sent the heartbeat whose reply last renewed its lease.
+    /// When the worker sent the heartbeat whose reply last renewed its lease.
     lease_renewed_at: f64,
     next_heartbeat_at: f64,
     /// Agent epoch, sequence number and sending time of the heartbeat that awaits a reply.
     awaited_reply: Option<((u64, u64), f64)>,
-    /// Until when the machine hangs: it sends and receives nothing, and its tasks make no progress.
+    /// Time until which the machine hangs: it sends and receives nothing, and its tasks make no progress.
     hung_until: f64,
-    /// Until when replies to its heartbeats are lost and direct commands are delayed.
+    /// Time until which replies to the worker's heartbeats are lost and direct commands are delayed.
     replies_lost_until: f64,
-    /// Tasks that run on it fail, except those of gangs.
+    /// True if the tasks that run on the machine fail, except those of gangs.
     tasks_fail: bool,
-    /// When the cloud preempts it.
+    /// When the cloud preempts the machine; None without a preemption notice.
     preempted_at: Option<f64>,
 }
 
@@ -203,11 +207,11 @@
     now: f64,
     disabled_guard: DisabledGuard,
     store: FakeStore,
-    /// The leader's node, its fencing token and the expiry of its lease.
+    /// The leader's node, its fencing token and the expiry of its lease; None while the state service has no leader.
     leadership: Option<(usize, u64, f64)>,
-    /// Until when the state service is unavailable.
+    /// Time until which the state service is unavailable.
     outage_until: f64,
-    /// Until when the zones are partitioned from each other.
+    /// Time until which the zones are partitioned from each other.
     partition_until: f64,
     deployment_kind: DeploymentKind,
     config: Config,
@@ -229,7 +233,7 @@
     violations: Vec<String>,
     /// Duration of a worker's lease.
     worker_lease_s: f64,
-    /// Time after its cancellation within which a job's tasks must have ended.
+    /// Time after a job's cancellation within which its tasks must have exited.
     cancellation_limit_s: f64,
     /// Duration of the leader's lease.
     leader_lease_s: f64,
@@ -299,7 +303,8 @@
     }
 
     /// Records a violation if a task started before a dependency of its job was done, a task of a cancelled job is
-    /// still on a machine after the limit, a team exceeds its CPU limit, or an open job is missing from the store.
+    /// still on a machine after the limit, team red exceeds its CPU limit, or an open job is missing from the store.
+    /// Tasks count only while their worker's lease is valid: afterwards the worker kills them before they can continue.
     fn check_invariants(&mut self) {
         let mut red_cpus = 0.0;
         for (name, worker) in &self.workers {
@@ -349,13 +354,13 @@
         }
     }
 
-    /// Runs the simulation to its end or to the first violation; returns the violations. A job that has not ended by
-    /// then counts as one.
+    /// Runs the simulation to its end, or to the first step with a violation; returns the violations. Jobs that are
+    /// still open at the end are a violation.
     fn run(self) -> Vec<String> {
         self.run_with_digest().0
     }
 
-    /// As [`Self::run`], with the digest of everything that leaders and delegates sent.
+    /// As [`Self::run`], with the digest of the decisions of leaders and delegates.
     fn run_with_digest(mut self) -> (Vec<String>, u64) {
         while self.now < SIMULATION_END_S && self.violations.is_empty() {
             self.now += STEP_S;
@@ -383,7 +388,8 @@
 }
 
 impl Worker {
-    /// Kills and forgets all tasks, as a worker does when it restarts or its lease expires.
+    /// Kills and forgets all tasks and starts a new lease, as a worker does when it restarts or its lease expires. Its
+    /// next heartbeat is due at once.
     fn start_next_agent_epoch(&mut self, now: f64) {
         self.fake.heartbeat.agent_epoch += 1;
         self.fake.heartbeat.tasks.clear();
@@ -404,9 +410,10 @@
     }
 }
 
-/// Guards against faults whose effects combine: a message that was delayed, lost or duplicated reaches a leader,
-/// worker or store whose state has moved on, or a failover happens while commands and writes are in doubt. A leader
-/// that misjudges this starts a task twice, exceeds a team's limit, misses a cancellation, or never ends a job.
+/// Guards against errors that show only when faults combine: a message is lost, a delayed or duplicated message reaches
+/// a leader, worker or store whose state has changed since, or a failover happens while commands and writes are in
+/// doubt. A leader that misjudges such a case runs a task on two machines, exceeds a team's limit, misses a
+/// cancellation, or never ends a job.
 #[test]
 fn invariants_hold_and_every_job_ends_under_random_faults() {
     for (deployment_kind, seeds) in [
--- a/src/tests/random_faults/delivery.rs
+++ b/src/tests/random_faults/delivery.rs
@@ -74,7 +74,7 @@
             Some(Message::DirectOutcome {
                 node_index,
                 fencing_token,
-                machine,
+                machine_index,
                 outcome,
             }) => {
                 // The outcome counts even if the leader does not rely on its lease at this moment.
@@ -83,7 +83,7 @@
                     .as_mut()
                     .filter(|l| l.fencing_token == fencing_token)
                 {
-                    leader.on_direct_outcome(machine, outcome, now);
+                    leader.on_direct_outcome(machine_index, outcome, now);
                 }
             }
             Some(Message::Transaction {
@@ -244,13 +244,17 @@
             return self.send_reply(node_index, &heartbeat, None, leader_node);
         };
         if accepts_as_new {
-            let known_index = leader.fleet.find(&heartbeat.machine);
-            if let Some(machine) = known_index.and_then(|index| leader.fleet.machines.get(&index)) {
+            // The copy gets the machine's current agent epoch and the next sequence number, so that it passes as a new
+            // heartbeat.
+            let machine_index = leader.fleet.find(&heartbeat.machine);
+            if let Some(machine) = machine_index.and_then(|index| leader.fleet.machines.get(&index))
+            {
                 (heartbeat.agent_epoch, heartbeat.sequence) =
                     (machine.agent_epoch, machine.sequence + 1);
             }
             heartbeat.fencing_token = leader.fencing_token;
         }
+        // A worker that knows a newer leader gets no renewal from this one.
         if heartbeat.fencing_token > leader.fencing_token {
             return self.send_reply(node_index, &heartbeat, None, leader_node);
         }
@@ -271,8 +275,8 @@
         );
     }
 
-    /// The leader's fencing token, if a node may reply to a heartbeat as the leader's delegate: the state service must
-    /// be available and show a delegation for the worker's zone.
+    /// The leader's fencing token, if a node may reply to a heartbeat as the leader's delegate: the leader's lease must
+    /// be valid, and the state service must be available and show a delegation for the worker's zone.
     pub(super) fn delegated_fencing_token(
         &self,
         node_index: usize,
@@ -289,8 +293,8 @@
                 })
         };
         let mut keys = self.store.keys.iter();
-        let in_force = can_check && keys.any(|(key, (value, _))| is_in_force(key, value));
-        (in_force && heartbeat.fencing_token <= fencing_token).then_some(fencing_token)
+        let is_delegate = can_check && keys.any(|(key, (value, _))| is_in_force(key, value));
+        (is_delegate && heartbeat.fencing_token <= fencing_token).then_some(fencing_token)
     }
 
     /// The commands of a delegate's reply. The heartbeat is relayed to the leader, sometimes with a late duplicate.
@@ -358,7 +362,8 @@
         );
     }
 
-    /// A worker drops a reply that is late, to an earlier heartbeat, or of a former leader.
+    /// A worker drops a reply that arrives after the timeout, that belongs to an earlier heartbeat, or that comes from
+    /// a former leader.
     pub(super) fn receive_reply(
         &mut self,
         machine: &str,
@@ -407,8 +412,9 @@
         }
     }
 
-    /// Commands for a machine that hangs, or that loses replies, are delivered when it recovers; their sender gets no
-    /// outcome and must assume that they may still be executed.
+    /// A worker refuses commands from a former leader or for another agent epoch. Commands for a machine that hangs or
+    /// loses replies are delivered when the machine recovers; after the timeout their sender gets an unknown outcome,
+    /// and must assume that they may still be executed.
     pub(super) fn receive_direct_commands(
         &mut self,
         sender: usize,
@@ -418,7 +424,7 @@
         expects_reply: bool,
     ) {
         let now = self.now;
-        let machine = direct_commands.machine;
+        let machine_index = direct_commands.machine;
         let outcome = match self.workers.get_mut(&machine_name) {
             None => DirectCommandOutcome::NotSent,
             Some(worker) if worker.hung_until > now || worker.replies_lost_until > now => {
@@ -462,7 +468,7 @@
                 Message::DirectOutcome {
                     node_index: sender,
                     fencing_token,
-                    machine,
+                    machine_index,
                     outcome,
                 },
             );
--- a/src/tests/random_faults/digest.rs
+++ b/src/tests/random_faults/digest.rs
@@ -1,5 +1,6 @@
-//! A digest of everything that leaders and delegates send, as serialized: versions of the code that make the same
-//! decisions have the same digest, whatever names their types and fields have in Rust.
+//! A digest of the transactions, commands and cloud calls that leaders and delegates send, in their serialized (wire)
+//! form. Versions of the code that make the same decisions have the same digest, even if the Rust names of types and
+//! fields differ.
 
 use std::hash::{DefaultHasher, Hasher};
 
--- a/src/tests/random_faults/faults_and_users.rs
+++ b/src/tests/random_faults/faults_and_users.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 impl World {
-    /// Whether a fault of this probability occurs; never after the fault phase, and nothing is drawn then.
+    /// Draws whether a fault of this probability occurs. After the fault phase no fault occurs and nothing is drawn.
     pub(super) fn fault_occurs(&mut self, probability: f64) -> bool {
         self.now < FAULT_PHASE_S && self.chance(probability)
     }
@@ -81,6 +81,7 @@
             worker.start_next_agent_epoch(self.now);
         }
         if self.chance(0.002) && names.len() > 3 {
+            // The machine is lost.
             self.workers.remove(&name);
         }
         if self.deployment_kind == DeploymentKind::Mixed {
@@ -108,7 +109,8 @@
             .retain(|_, worker| worker.preempted_at.is_none_or(|at| at > now));
     }
 
-    /// Varies a job of the mixed deployment.
+    /// Draws the priority, class, machine requirements, checkpoints, dependencies and deadline of a job of the mixed
+    /// deployment.
     fn vary_job(&mut self, spec: &mut Submission) {
         spec.priority = [
             Priority::Low,
@@ -130,8 +132,9 @@
             3 if spec.kind == JobKind::Array => (spec.cpus, spec.tasks) = (40.0, 1),
             _ => {}
         }
-        // Each combination of machine requirements gets its own class name. Jobs of the same name with different
-        // requirements would form classes that can be equal in all sort keys, and the order of those is unspecified.
+        // Each combination of machine types, zone and spot gets its own class name. Jobs of the same name with
+        // different requirements would form classes that can be equal in all sort keys, and the order of those is
+        // unspecified.
         spec.class = format!(
             "{}-{:?}-{:?}-{}",
             spec.class, spec.types, spec.zone, spec.spot
@@ -155,12 +158,12 @@
         if self.now >= FAULT_PHASE_S {
             return;
         }
-        let short = self.deployment_kind == DeploymentKind::Short;
-        if self.chance(if short { 0.15 } else { 0.05 }) {
+        let is_short = self.deployment_kind == DeploymentKind::Short;
+        if self.chance(if is_short { 0.15 } else { 0.05 }) {
             let id = format!("j-{:04}", self.jobs.len() + 1);
-            let is_gang = !short && self.chance(0.3);
+            let is_gang = !is_short && self.chance(0.3);
             // Exclusive limit: 4 for gangs, 12 for arrays, 24 where the deployment has no gangs.
-            let tasks_limit = [4, 12, 24][usize::from(!is_gang) + usize::from(short)];
+            let tasks_limit = [4, 12, 24][usize::from(!is_gang) + usize::from(is_short)];
             let tasks = self.rng.random_range(1..tasks_limit);
             let mut spec = job(&id, tasks);
             if is_gang {
@@ -242,7 +245,7 @@
         self.notify_readiness();
     }
 
-    /// Tells the nodes which jobs became ready, and which have a cancelled dependency.
+    /// Sends all nodes the jobs that became ready and those with a cancelled dependency.
     fn notify_readiness(&mut self) {
         let changes = self.replica.take_readiness_changes(self.now);
         for node_index in 0..NODES {
--- a/src/tests/random_faults/leaders.rs
+++ b/src/tests/random_faults/leaders.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl World {
-    /// Expires the leader's lease, renews it, and elects a node while none leads. Does nothing during an outage of the
-    /// state service.
+    /// Expires or renews the leader's lease, and may elect a node while none leads. During an outage of the state
+    /// service, the lease neither expires nor is renewed, and no node is elected.
     pub(super) fn run_elections(&mut self) {
         if self.now < self.outage_until {
             // The service extends every lease to its full duration from the end of the outage.
@@ -99,6 +99,7 @@
             leader.maintain_fleet(now);
         }
         leader.schedule(now);
+        // At most 8 calls a step, and one call to a machine in 1.5 s unless the call launches a task.
         let direct_commands = leader.take_direct_commands(now, 1.5, 8);
         let txn = if transaction_in_flight {
             None
@@ -141,7 +142,7 @@
     }
 
     /// Sends direct commands, which may be lost, delayed beyond the timeout, or duplicated. A partition delays them
-    /// until it ends.
+    /// until the partition ends.
     pub(super) fn send_direct_commands(
         &mut self,
         sender: usize,
@@ -153,7 +154,7 @@
         let partition_delay_s = self.partition_delay_s(sender, &machine_name);
         let late = self.fault_occurs(0.08) || partition_delay_s > 0.0;
         let duplicated = self.fault_occurs(0.15);
-        let machine = direct_commands.machine;
+        let machine_index = direct_commands.machine;
         let message = |expects_reply| Message::DirectCommands {
             sender,
             fencing_token,
@@ -169,7 +170,7 @@
                 Message::DirectOutcome {
                     node_index: sender,
                     fencing_token,
-                    machine,
+                    machine_index,
                     outcome,
                 },
             );
--- a/src/tests/random_faults/machines.rs
+++ b/src/tests/random_faults/machines.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl World {
-    /// Executes commands on a machine. A start is refused if another attempt of the task is there or the machine has
-    /// too few free CPUs.
+    /// Executes commands on a machine. A repeated start of an attempt is ignored. A start is refused if another attempt
+    /// of the task has not exited on the machine, or if the machine has too few free CPUs.
     pub(super) fn execute_commands(&mut self, machine: &str, commands: &[Command]) {
         let now = self.now;
         let fetch_s = self.random_between(0.0, 2.0);
@@ -58,7 +58,8 @@
         }
     }
 
-    /// One step of all workers. A worker that hangs does nothing, not even end its tasks when its lease expires.
+    /// One step of all workers. A worker that hangs does nothing: it does not even end its tasks when its lease
+    /// expires.
     pub(super) fn run_workers(&mut self) {
         let now = self.now;
         let names: Vec<String> = self.workers.keys().cloned().collect();
@@ -132,7 +133,7 @@
     }
 
     /// Another machine on which a task has started and whose worker's lease is valid. This includes machines that hang,
-    /// as the task may still run there.
+    /// as the task continues there if the machine recovers before the lease expires.
     pub(super) fn find_other_machine_running(&self, name: &str, task: &str) -> Option<&str> {
         let runs_task = |worker: &Worker| {
             let has_started_task = |t: &TaskStatus| t.task == task && has_started(t.state);
@@ -145,8 +146,9 @@
             .map(|(other, _)| other.as_str())
     }
 
-    /// Advances the tasks of gangs: those of one attempt start and complete together, and all exit when one is gone or
-    /// its machine hangs.
+    /// Advances the tasks of gangs. The tasks of one attempt start and complete together. Running tasks exit when
+    /// another task of the attempt is gone or its machine hangs; a waiting task exits as incomplete 50 s after its
+    /// image is fetched.
     pub(super) fn run_gangs(&mut self) {
         let now = self.now;
         // For each task of an attempt: its machine, its index in the heartbeat, and whether the machine responds.
@@ -208,8 +210,8 @@
         }
     }
 
-    /// Sends a heartbeat if one is due and none awaits its reply. After a reply timeout the worker uses the next
-    /// node.
+    /// Sends a heartbeat if one is due and no earlier heartbeat awaits its reply. After a reply timeout the worker uses
+    /// the next node.
     pub(super) fn send_heartbeat(&mut self, name: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else {
