--- a/crates/loadtest/src/bin/quota-schemes.rs
+++ b/crates/loadtest/src/bin/quota-schemes.rs
@@ -88,7 +88,7 @@
             ledger.apply(change, 2);
         }
     }
-    ledger.reached(2);
+    ledger.advance_to(2);
     let names: Vec<String> = (0..teams).map(|team| format!("team-{team}")).collect();
     let charge = QuotaAmount::of_job(1, 2.0, 0.0, 0.0);
     let began = Instant::now();
--- a/crates/loadtest/src/schemes.rs
+++ b/crates/loadtest/src/schemes.rs
@@ -187,7 +187,7 @@
             self.revisions.insert(change.account(), self.revision);
             self.ledger.apply(change.clone(), self.revision);
         }
-        self.ledger.reached(self.revision);
+        self.ledger.advance_to(self.revision);
         true
     }
 
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -192,12 +192,12 @@
     }
 
     /// Records that all changes up to a revision are applied.
-    pub fn reached(&mut self, revision: u64) {
+    pub fn advance_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
     /// Records the revision of the last page of an initial read.
-    pub fn read_until(&mut self, revision: u64) {
+    pub fn set_consistent_from(&mut self, revision: u64) {
         self.consistent_from = revision;
     }
 
--- a/crates/quota/tests/quotas/support/controller.rs
+++ b/crates/quota/tests/quotas/support/controller.rs
@@ -99,7 +99,7 @@
         self.replicated_changes = end;
         for committed in &new_changes {
             self.apply_change(&committed.change, committed.revision, now);
-            self.ledger.reached(committed.revision);
+            self.ledger.advance_to(committed.revision);
         }
         let known = &self.known;
         self.admissions.prune(&self.ledger, |id| known.contains(id));
@@ -132,8 +132,8 @@
         for (change, revision) in jobs.iter().chain(accounts) {
             self.apply_change(change, *revision, 0.0);
         }
-        self.ledger.reached(first_revision);
-        self.ledger.read_until(store.revision);
+        self.ledger.advance_to(first_revision);
+        self.ledger.set_consistent_from(store.revision);
         self.replicated_changes = jobs_as_of;
         while store
             .history
--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -68,7 +68,7 @@
     /// Jobs with pending tasks.
     pub(crate) waiting_jobs: &'a BTreeSet<JobIndex>,
     /// Decides which tasks count as large.
-    pub(crate) rule: PricingRule,
+    pub(crate) pricing_rule: PricingRule,
     pub(crate) now: Time,
 }
 
@@ -79,7 +79,7 @@
 
     /// Whether a task of a class counts as large on every machine type that the class may use.
     fn is_large(&self, class: &JobClass) -> bool {
-        class.is_large(self.catalog, &self.rule)
+        class.is_large(self.catalog, &self.pricing_rule)
     }
 
     /// The lowest price per CPU among the machine types that a job may use. Infinite if it may use none.
@@ -138,12 +138,12 @@
         &self,
         type_index: usize,
         catalog: &MachineCatalog,
-        rule: &PricingRule,
+        pricing_rule: &PricingRule,
         jobs: &JobTable,
         waiting_jobs: &BTreeSet<JobIndex>,
     ) -> Option<Priority> {
         self.classes
-            .borrowing_priority_limit(type_index, catalog, rule, jobs, waiting_jobs)
+            .borrowing_priority_limit(type_index, catalog, pricing_rule, jobs, waiting_jobs)
     }
 
     /// Makes the next pass due at once.
@@ -191,7 +191,7 @@
 
     /// Queues the rental requests of a plan, unless earlier ones have no answer yet or the fleet is not known well
     /// enough.
-    pub(crate) fn rent(
+    pub(crate) fn queue_rentals(
         &mut self,
         plan: ScalingPlan,
         inputs: &ScalingInputs,
--- a/src/autoscaler/arrival_forecast.rs
+++ b/src/autoscaler/arrival_forecast.rs
@@ -105,7 +105,7 @@
     }
 
     /// The run times to send to other controllers: the first [`SENT_CLASSES_MAX`] classes in the order of their keys.
-    pub fn runs(&self) -> Vec<(String, DecayingMean)> {
+    pub fn run_times(&self) -> Vec<(String, DecayingMean)> {
         let mut run_times: Vec<_> = self
             .run_times
             .iter()
@@ -117,7 +117,7 @@
     }
 
     /// Adopts the run times that another controller sent, for each class where they are based on more samples.
-    pub fn learn(&mut self, run_times: &[(String, DecayingMean)]) {
+    pub fn adopt_run_times(&mut self, run_times: &[(String, DecayingMean)]) {
         for (class_key, received) in run_times {
             let own = self.run_times.entry(class_key.clone()).or_default();
             if received.is_valid() && received.samples > own.samples {
--- a/src/autoscaler/capacity_units.rs
+++ b/src/autoscaler/capacity_units.rs
@@ -13,7 +13,7 @@
 /// A machine in one scaling pass: up, booting or to be rented.
 pub(crate) struct CapacityUnit {
     /// The machine's index. None if it is still to be rented.
-    pub(crate) index: Option<MachineIndex>,
+    pub(crate) machine_index: Option<MachineIndex>,
     /// The machine type, and whether it is a spot machine.
     pub(super) option: MachineOption,
     pub(super) zone: Rc<str>,
@@ -25,7 +25,7 @@
     /// The dominant share of the resources that are in use now.
     pub(super) used_share: f64,
     /// Whether the machine's worker has made contact in this term.
-    pub(crate) up: bool,
+    pub(crate) is_up: bool,
     /// Whether a large task runs or may run on the machine.
     pub(crate) runs_large_tasks: bool,
     /// Whether tasks run or may run on the machine, and none of them is large.
@@ -46,7 +46,7 @@
     fn preference(&self, other: &Self) -> Ordering {
         self.unit_price
             .total_cmp(&other.unit_price)
-            .then(other.up.cmp(&self.up))
+            .then(other.is_up.cmp(&self.is_up))
             .then(other.used_share.total_cmp(&self.used_share))
     }
 }
@@ -80,7 +80,7 @@
         let runs_large_tasks = machine.runs_large_task(tunables.large_share);
         let unfinished = machine.attempts.iter().filter(|(_, a)| !a.completed);
         Some(CapacityUnit {
-            index: Some(index),
+            machine_index: Some(index),
             option: MachineOption {
                 type_index,
                 spot: machine.spot,
@@ -89,7 +89,7 @@
             free: capacity,
             unit_price: self.catalog.unit_price(type_index, machine.spot),
             used_share: machine.used.largest_share(capacity),
-            up: machine.is_up(),
+            is_up: machine.is_up(),
             runs_large_tasks,
             runs_small_tasks: !machine.is_empty() && !runs_large_tasks,
             highest_priority: unfinished
--- a/src/autoscaler/cloud.rs
+++ b/src/autoscaler/cloud.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudCall {
     /// Reads the machine types and their prices.
-    Types,
+    MachineTypes,
     /// Reads a page of the machine list.
     List {
         /// The name after which the page starts; empty for the first page.
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone)]
 pub enum CloudAnswer {
     /// All types.
-    Types(Vec<MachineType>),
+    MachineTypes(Vec<MachineType>),
     /// A page of the machine list, and whether more pages follow.
     List(Vec<ListedMachine>, bool),
     /// The names of the rented machines, possibly fewer than requested.
@@ -147,7 +147,7 @@
         }
         if now >= self.next_types_at {
             self.next_types_at = now + workers.lease_s * TYPES_INTERVAL_LEASES;
-            return Some(CloudCall::Types);
+            return Some(CloudCall::MachineTypes);
         }
         None
     }
--- a/src/autoscaler/job_classes.rs
+++ b/src/autoscaler/job_classes.rs
@@ -115,12 +115,12 @@
     }
 
     /// Whether a task counts as large on every machine type that the class may use.
-    pub(super) fn is_large(&self, catalog: &MachineCatalog, rule: &PricingRule) -> bool {
+    pub(super) fn is_large(&self, catalog: &MachineCatalog, pricing_rule: &PricingRule) -> bool {
         let options = catalog.options(&self.spec);
         !options.is_empty()
             && options
                 .iter()
-                .all(|o| rule.is_large(self.task_resources, catalog.capacity(o.type_index)))
+                .all(|o| pricing_rule.is_large(self.task_resources, catalog.capacity(o.type_index)))
     }
 }
 
@@ -204,14 +204,14 @@
         &self,
         type_index: usize,
         catalog: &MachineCatalog,
-        rule: &PricingRule,
+        pricing_rule: &PricingRule,
         jobs: &JobTable,
         waiting_jobs: &BTreeSet<JobIndex>,
     ) -> Option<Priority> {
         let machine_type = &catalog[type_index];
         let has_large_tasks = |spec: &Submission| {
             is_type_allowed(spec, machine_type)
-                && rule.is_large(task_resources(spec), catalog.capacity(type_index))
+                && pricing_rule.is_large(task_resources(spec), catalog.capacity(type_index))
         };
         if waiting_jobs
             .iter()
--- a/src/autoscaler/rentals.rs
+++ b/src/autoscaler/rentals.rs
@@ -92,7 +92,7 @@
         let tasks_on_each = offer.tasks_per_machine.min(tasks);
         for _ in 0..machine_count {
             self.units.push(CapacityUnit {
-                index: None,
+                machine_index: None,
                 option: MachineOption {
                     type_index: pool.type_index,
                     spot: pool.spot,
@@ -101,7 +101,7 @@
                 free: capacity.minus(class.task_resources.times(tasks_on_each)),
                 unit_price,
                 used_share: 0.0,
-                up: false,
+                is_up: false,
                 runs_large_tasks: false,
                 runs_small_tasks: false,
                 highest_priority: None,
--- a/src/autoscaler/surplus.rs
+++ b/src/autoscaler/surplus.rs
@@ -34,7 +34,9 @@
         let mut plan = ScaleInPlan::default();
         let mut free_cpus = self.free_cpus_on_needed_machines(units) * EVICTION_CAPACITY_SHARE;
         for unit in units {
-            let Some(index) = unit.index else { continue };
+            let Some(index) = unit.machine_index else {
+                continue;
+            };
             let Some(machine) = self.fleet.machines.get(&index) else {
                 continue;
             };
@@ -70,9 +72,9 @@
     fn free_cpus_on_needed_machines(&self, units: &[CapacityUnit]) -> f64 {
         let needed = units
             .iter()
-            .filter(|u| u.planned_role.is_some() && u.up && !u.is_planned_for_large_tasks());
+            .filter(|u| u.planned_role.is_some() && u.is_up && !u.is_planned_for_large_tasks());
         needed
-            .filter_map(|u| self.fleet.machines.get(&u.index?))
+            .filter_map(|u| self.fleet.machines.get(&u.machine_index?))
             .map(|machine| (machine.capacity.cpus - machine.used.cpus).max(0.0))
             .sum::<f64>()
     }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -45,12 +45,12 @@
 /// long.
 const EVICTABLE_IDLE_HEARTBEATS: f64 = 1.5;
 /// Value of `Retry-After` in answers to requests that can't be served at the moment, in seconds.
-const RETRY_S: u32 = 1;
+const RETRY_AFTER_S: u32 = 1;
 /// Maximum number of requests that wait for the next read barrier, and of heartbeats that wait for the check of a
 /// delegation.
-const READ_WAITERS_MAX: usize = 256;
+const BARRIER_WAITERS_MAX: usize = 256;
 /// Time limit of a read barrier, in seconds. Users wait 2 s for the answer to a poll.
-const READ_TIMEOUT_S: f64 = 1.2;
+const BARRIER_TIMEOUT_S: f64 = 1.2;
 /// Pause between two watches of the store, in seconds, so that changes are received in batches.
 const WATCH_BATCH_S: f64 = 0.05;
 /// Interval at which the leader maintains its fleet, in heartbeat intervals of the workers.
@@ -252,7 +252,7 @@
             host: self.config.node.clone(),
             store_contact_age_s: self.replication.store_contact_age_s(now),
             workers: self.worker_contacts.next_page(last_reported, now, lease_s),
-            run_times: self.forecast.borrow().runs(),
+            run_times: self.forecast.borrow().run_times(),
             shortages: self.shortages(),
         }
     }
--- a/src/controller/admission/quota_admission.rs
+++ b/src/controller/admission/quota_admission.rs
@@ -13,7 +13,7 @@
 use crate::admission_quota::store_mapping::charge_of;
 use crate::config::Config;
 use crate::controller::users::submissions::CreationOutcome;
-use crate::controller::{Controller, RETRY_S};
+use crate::controller::{Controller, RETRY_AFTER_S};
 use crate::http::Response;
 use crate::peers::Shortages;
 use crate::protocol::users::Submission;
@@ -160,7 +160,7 @@
         job: &Submission,
     ) -> Response {
         let charge = charge_of(job);
-        let mut retry_after_s = f64::from(RETRY_S);
+        let mut retry_after_s = f64::from(RETRY_AFTER_S);
         for _ in 0..CREATION_ATTEMPTS_MAX {
             match self.decide_admission(quota, job, charge) {
                 Decision::Admitted(attempt) => match self.create_job(job, Some(&attempt)).await {
@@ -178,7 +178,9 @@
                     let refusal = Response::error(422, EXCEEDS_QUOTA);
                     return self.refuse_unless_known(job, refusal).await;
                 }
-                Decision::NotReady => return Response::retry_later(503, NOT_IN_FORCE, RETRY_S),
+                Decision::NotReady => {
+                    return Response::retry_later(503, NOT_IN_FORCE, RETRY_AFTER_S);
+                }
             }
         }
         let refusal = Response::retry_later(429, QUOTA_EXHAUSTED, retry_after_s.ceil() as u32);
--- a/src/controller/leading/cloud_calls.rs
+++ b/src/controller/leading/cloud_calls.rs
@@ -88,7 +88,7 @@
 /// The HTTP method, path and body of a call.
 fn http_request(call: &CloudCall) -> (&'static str, String, Option<Vec<u8>>) {
     match call {
-        CloudCall::Types => ("GET", paths::MACHINE_TYPES.to_owned(), None),
+        CloudCall::MachineTypes => ("GET", paths::MACHINE_TYPES.to_owned(), None),
         CloudCall::List { after } if after.is_empty() => {
             ("GET", format!("{}?Limit=500", paths::MACHINES), None)
         }
@@ -120,9 +120,9 @@
     response: Result<(u16, Vec<u8>), CallError>,
 ) -> CloudAnswer {
     match (call, response) {
-        (CloudCall::Types, Ok((200, body))) => {
+        (CloudCall::MachineTypes, Ok((200, body))) => {
             match serde_json::from_slice::<MachineTypes>(&body) {
-                Ok(list) if !list.types.is_empty() => CloudAnswer::Types(list.types),
+                Ok(list) if !list.types.is_empty() => CloudAnswer::MachineTypes(list.types),
                 _ => CloudAnswer::Failed,
             }
         }
--- a/src/controller/leading/direct_commands.rs
+++ b/src/controller/leading/direct_commands.rs
@@ -56,7 +56,7 @@
     /// that made the commands and before the connection to the worker is established.
     fn launches_ended_job(&self, commands: &[Command]) -> bool {
         commands.iter().any(|command| match command {
-            Command::Start { task, .. } => self.is_job_ended(task),
+            Command::Launch { task, .. } => self.is_job_ended(task),
             Command::Stop { .. } | Command::Forget { .. } => false,
         })
     }
--- a/src/controller/leading/elections.rs
+++ b/src/controller/leading/elections.rs
@@ -206,7 +206,7 @@
             self.forecast.clone(),
             now,
         );
-        leader.unix_ms_at_start =
+        leader.unix_ms_at_time_zero =
             Some(self.runtime.unix_ms().saturating_sub((now * 1000.0) as u64));
         // A direct command to each known worker fences off a former leader there, and its reply carries the worker's
         // heartbeat.
--- a/src/controller/leading/machine_types.rs
+++ b/src/controller/leading/machine_types.rs
@@ -30,13 +30,14 @@
             if self.replication.replica.borrow().machine_types.is_some() {
                 return;
             }
-            if let CloudAnswer::Types(types) = self.cloud.call(&CloudCall::Types).await
+            if let CloudAnswer::MachineTypes(types) =
+                self.cloud.call(&CloudCall::MachineTypes).await
                 && let Ok(value) = to_raw_value(&types)
             {
                 let bytes_max = self.config.deployment.state.value_kb * 1024.0;
                 let is_storable = value.get().len() as f64 <= bytes_max;
                 let txn = machine_types_creation(value);
-                if !is_storable || self.write_for_user(&txn).await == TxnOutcome::TooLarge {
+                if !is_storable || self.write_for_user(&txn).await == TxnOutcome::Rejected {
                     // The types are too large to be stored, so each controller requests them itself.
                     self.replication.replica.borrow_mut().machine_types = Some(Rc::new(types));
                     return;
--- a/src/controller/replication.rs
+++ b/src/controller/replication.rs
@@ -17,7 +17,7 @@
 use crate::store::replica::StateReplica;
 
 /// Time limit of one watch, in seconds: less than the silence after which the state service is taken to be unreachable.
-pub(super) const WATCH_S: f64 = 2.0;
+pub(super) const WATCH_TIMEOUT_S: f64 = 2.0;
 /// Time limit of a watch that replaces one ended early, as a fraction of [`STALE_WATCH_S`].
 const RESTARTED_WATCH_SHARE: f64 = 0.25;
 
@@ -103,7 +103,7 @@
         if let Some(ledger) = &mut new_replica.quota {
             // Jobs are read before the quota accounts that they are charged to: until the watch has delivered the
             // changes made during the load, charges are missing.
-            ledger.read_until(last_revision);
+            ledger.set_consistent_from(last_revision);
         }
         let known_machine_types = self.replication.replica.borrow().machine_types.clone();
         new_replica.machine_types = new_replica.machine_types.or(known_machine_types);
@@ -141,7 +141,7 @@
                     leader.on_ready(id, job.ready_at.unwrap_or(now));
                 }
                 if let Some(end) = &job.end {
-                    leader.on_end(id, end, now);
+                    leader.on_job_end_stored(id, end, now);
                 }
             }
         }
@@ -150,7 +150,7 @@
 
     /// Applies changes as the store reports them, until the store no longer keeps those after the replica's revision.
     async fn watch_changes(&self) {
-        let mut timeout_s = WATCH_S;
+        let mut timeout_s = WATCH_TIMEOUT_S;
         loop {
             let Some(outcome) = self.watch_once(timeout_s).await else {
                 // A routine waits for a revision that the watch has not reported. If that revision changed only keys
@@ -159,7 +159,7 @@
                 timeout_s = STALE_WATCH_S * RESTARTED_WATCH_SHARE;
                 continue;
             };
-            timeout_s = WATCH_S;
+            timeout_s = WATCH_TIMEOUT_S;
             match outcome {
                 Ok(WatchOutcome::Events(events)) => self.on_watch_events(&events).await,
                 Ok(WatchOutcome::Compacted) => return,
--- a/src/controller/replication/read_barriers.rs
+++ b/src/controller/replication/read_barriers.rs
@@ -6,7 +6,7 @@
 
 use futures_channel::oneshot;
 
-use crate::controller::{Controller, READ_TIMEOUT_S, READ_WAITERS_MAX};
+use crate::controller::{BARRIER_TIMEOUT_S, BARRIER_WAITERS_MAX, Controller};
 use crate::runtime::Signal;
 use crate::store::keys;
 
@@ -16,16 +16,16 @@
 /// Why a read barrier was not passed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ReadBarrierError {
-    /// [`READ_WAITERS_MAX`] requests already wait for the next read barrier.
+    /// [`BARRIER_WAITERS_MAX`] requests already wait for the next read barrier.
     #[error("too many requests wait for a read barrier")]
     TooManyWaiting,
     /// The revision of the store could not be read.
     #[error("the revision of the state service could not be read")]
     StoreUnavailable,
-    /// The replica did not reach the revision within [`READ_TIMEOUT_S`].
+    /// The replica did not reach the revision within [`BARRIER_TIMEOUT_S`].
     #[error("the replica has not reached the revision in time")]
     ReplicaBehind,
-    /// The barrier took longer than [`READ_TIMEOUT_S`], for example because the process was paused.
+    /// The barrier took longer than [`BARRIER_TIMEOUT_S`], for example because the process was paused.
     #[error("the read barrier timed out")]
     TimedOut,
 }
@@ -46,19 +46,19 @@
 impl Controller {
     /// Waits until the replica holds all that was stored when this call began.
     pub(crate) async fn read_barrier(&self) -> ReadBarrierResult {
-        if self.read_barriers.waiting.borrow().len() >= READ_WAITERS_MAX {
+        if self.read_barriers.waiting.borrow().len() >= BARRIER_WAITERS_MAX {
             return Err(ReadBarrierError::TooManyWaiting);
         }
         let started_at = self.now();
         let (sender, receiver) = oneshot::channel();
         self.read_barriers.waiting.borrow_mut().push(sender);
         self.read_barriers.requested.set();
-        let Ok(Ok(result)) = self.runtime.timeout(READ_TIMEOUT_S, receiver).await else {
+        let Ok(Ok(result)) = self.runtime.timeout(BARRIER_TIMEOUT_S, receiver).await else {
             return Err(ReadBarrierError::TimedOut);
         };
         result?;
         // If this process was paused after the read, the result is too old for an answer that is sent now.
-        if self.now() - started_at <= READ_TIMEOUT_S {
+        if self.now() - started_at <= BARRIER_TIMEOUT_S {
             Ok(())
         } else {
             Err(ReadBarrierError::TimedOut)
@@ -95,9 +95,9 @@
         }
     }
 
-    /// Waits until the replica has reached a revision, but at most for [`READ_TIMEOUT_S`].
+    /// Waits until the replica has reached a revision, but at most for [`BARRIER_TIMEOUT_S`].
     pub(crate) async fn wait_for_revision(&self, revision: u64) -> ReadBarrierResult {
-        let deadline = self.now() + READ_TIMEOUT_S;
+        let deadline = self.now() + BARRIER_TIMEOUT_S;
         loop {
             if self.replication.has_reached(revision) {
                 return Ok(());
--- a/src/controller/replication/replica_events.rs
+++ b/src/controller/replication/replica_events.rs
@@ -46,7 +46,7 @@
                 if let Some(leader) = leader
                     && let Some(end) = replica.jobs.get(&id).and_then(|j| j.end)
                 {
-                    leader.on_end(&id, &end, now);
+                    leader.on_job_end_stored(&id, &end, now);
                     self.leadership.round_due.set();
                 }
             }
--- a/src/controller/tests/requests.rs
+++ b/src/controller/tests/requests.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 
 use crate::controller::leading::leader_loop::ROUND_TRANSACTIONS_MAX;
-use crate::controller::replication::WATCH_S;
+use crate::controller::replication::WATCH_TIMEOUT_S;
 use crate::controller::socket_budget::{RESERVED_SOCKETS, direct_commands_max};
 use crate::controller::users::writes::USER_WRITES_MAX;
 use crate::controller::workers::contacts::WorkerContact;
@@ -73,7 +73,7 @@
                 );
             }
             // A watch that never gets a change.
-            runtime.sleep(WATCH_S).await;
+            runtime.sleep(WATCH_TIMEOUT_S).await;
             answer(503, "{}".into())
         }) as _
     });
@@ -185,7 +185,7 @@
                     let put = pair.replacen("\"K\"", "\"Put\"", 1);
                     return answer(200, format!(r#"{{"Epoch":9,"News":[{put}]}}"#));
                 }
-                runtime.sleep(WATCH_S).await;
+                runtime.sleep(WATCH_TIMEOUT_S).await;
                 answer(503, "{}".into())
             }) as _
         });
--- a/src/controller/tests/world/workers.rs
+++ b/src/controller/tests/world/workers.rs
@@ -355,7 +355,7 @@
                 .fake
                 .borrow_mut()
                 .execute(fencing_token, std::slice::from_ref(command));
-            if let Command::Start { task, attempt } = command
+            if let Command::Launch { task, attempt } = command
                 && worker.running_tasks().len() > before
             {
                 if self.checks.spec(task).kind == JobKind::Gang {
--- a/src/controller/users/cancellations.rs
+++ b/src/controller/users/cancellations.rs
@@ -4,7 +4,7 @@
 
 use crate::controller::users::requests::{STATE_UNKNOWN, job_answer};
 use crate::controller::users::submission_checks::is_job_id;
-use crate::controller::{Controller, RETRY_S};
+use crate::controller::{Controller, RETRY_AFTER_S};
 use crate::http::Response;
 use crate::protocol::store::{Change, Condition, Txn};
 use crate::store::keys;
@@ -25,7 +25,7 @@
             return answer;
         }
         if self.read_barrier().await.is_err() {
-            return Response::retry_later(503, STATE_UNKNOWN, RETRY_S);
+            return Response::retry_later(503, STATE_UNKNOWN, RETRY_AFTER_S);
         }
         let (job_revision, done) = {
             let replica = self.replication.replica.borrow();
@@ -48,10 +48,10 @@
             TxnOutcome::Applied(_) => job_answer(id, &ReplicatedJob::ended(record)),
             TxnOutcome::Conflict(_) if self.read_barrier().await.is_ok() => {
                 self.final_state(id).unwrap_or_else(|| {
-                    Response::retry_later(503, "the job's record is changing", RETRY_S)
+                    Response::retry_later(503, "the job's record is changing", RETRY_AFTER_S)
                 })
             }
-            _ => Response::retry_later(503, CANCELLATION_UNCONFIRMED, RETRY_S),
+            _ => Response::retry_later(503, CANCELLATION_UNCONFIRMED, RETRY_AFTER_S),
         }
     }
 }
--- a/src/controller/users/requests.rs
+++ b/src/controller/users/requests.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use crate::controller::users::submission_checks::is_job_id;
-use crate::controller::{Controller, RETRY_S};
+use crate::controller::{Controller, RETRY_AFTER_S};
 use crate::http::{Request, Response};
 use crate::protocol::paths;
 use crate::store::replica::ReplicatedJob;
@@ -70,7 +70,7 @@
         if is_initialized && quota_agrees && (has_store || is_outage) {
             Response::json(200, &serde_json::json!({ "ready": true }))
         } else {
-            Response::retry_later(503, "the controller is not ready", RETRY_S)
+            Response::retry_later(503, "the controller is not ready", RETRY_AFTER_S)
         }
     }
 
@@ -83,7 +83,7 @@
             return answer;
         }
         if self.read_barrier().await.is_err() {
-            return Response::retry_later(503, STATE_UNKNOWN, RETRY_S);
+            return Response::retry_later(503, STATE_UNKNOWN, RETRY_AFTER_S);
         }
         self.current_state(id)
     }
--- a/src/controller/users/submissions.rs
+++ b/src/controller/users/submissions.rs
@@ -8,7 +8,7 @@
 use crate::controller::users::submission_checks::{
     DependencyError, infeasibility, parse_submission,
 };
-use crate::controller::{Controller, RETRY_S};
+use crate::controller::{Controller, RETRY_AFTER_S};
 use crate::http::Response;
 use crate::protocol::users::{JobKind, JobState, Submission};
 use crate::store::replica::ReplicatedJob;
@@ -43,12 +43,12 @@
         }
         let types = self.replication.replica.borrow().machine_types.clone();
         let (true, Some(types)) = (self.replication.is_loaded.get(), types) else {
-            return Response::retry_later(503, "the controller is not ready", RETRY_S);
+            return Response::retry_later(503, "the controller is not ready", RETRY_AFTER_S);
         };
         if self.is_known(&job.id) {
             return match self.read_barrier().await {
                 Ok(()) => self.current_state(&job.id),
-                Err(_) => Response::retry_later(503, STATE_UNKNOWN, RETRY_S),
+                Err(_) => Response::retry_later(503, STATE_UNKNOWN, RETRY_AFTER_S),
             };
         }
         if let Some(reason) = infeasibility(&job, &self.config, &types) {
@@ -58,7 +58,7 @@
             // The replica may lag behind the store: whether this job or one of its dependencies was accepted is known
             // only after a read that began after the request arrived.
             if self.read_barrier().await.is_err() {
-                return Response::retry_later(503, STATE_UNKNOWN, RETRY_S);
+                return Response::retry_later(503, STATE_UNKNOWN, RETRY_AFTER_S);
             }
             if self.is_known(&job.id) {
                 return self.current_state(&job.id);
@@ -77,7 +77,7 @@
         }
         match self.create_job(job, None).await {
             CreationOutcome::Answer(answer) => answer,
-            CreationOutcome::Conflict => Response::retry_later(503, STATE_UNKNOWN, RETRY_S),
+            CreationOutcome::Conflict => Response::retry_later(503, STATE_UNKNOWN, RETRY_AFTER_S),
         }
     }
 
@@ -105,7 +105,7 @@
         self.finish_attempt(
             attempt,
             match outcome {
-                TxnOutcome::Refused | TxnOutcome::TooLarge => AttemptOutcome::NotApplied,
+                TxnOutcome::Refused | TxnOutcome::Rejected => AttemptOutcome::NotApplied,
                 _ => AttemptOutcome::MayBeApplied,
             },
         );
@@ -121,8 +121,8 @@
                     None => return CreationOutcome::Conflict,
                 }
             }
-            TxnOutcome::TooLarge => self.refuse_as_too_large(job).await,
-            _ => Response::retry_later(503, SUBMISSION_UNCONFIRMED, RETRY_S),
+            TxnOutcome::Rejected => self.refuse_as_too_large(job).await,
+            _ => Response::retry_later(503, SUBMISSION_UNCONFIRMED, RETRY_AFTER_S),
         })
     }
 
@@ -149,7 +149,7 @@
         refusal: Response,
     ) -> Response {
         if self.read_barrier().await.is_err() {
-            return Response::retry_later(503, STATE_UNKNOWN, RETRY_S);
+            return Response::retry_later(503, STATE_UNKNOWN, RETRY_AFTER_S);
         }
         self.known_state(&job.id).unwrap_or(refusal)
     }
--- a/src/controller/users/writes.rs
+++ b/src/controller/users/writes.rs
@@ -61,7 +61,7 @@
     /// the rate then falls back to the share.
     fn adapt_rate(&self, outcome: &TxnOutcome) {
         self.rate_limit.set_rate(match outcome {
-            TxnOutcome::Applied(_) | TxnOutcome::Conflict(_) | TxnOutcome::TooLarge => {
+            TxnOutcome::Applied(_) | TxnOutcome::Conflict(_) | TxnOutcome::Rejected => {
                 (self.rate_limit.rate() * RATE_GROWTH).min(self.total_rps)
             }
             TxnOutcome::Refused | TxnOutcome::Unknown => self.share_rps,
@@ -96,7 +96,7 @@
             let outcome = self.store.txn(txn).await;
             self.user_writes.adapt_rate(&outcome);
             match outcome {
-                TxnOutcome::Applied(_) | TxnOutcome::Conflict(_) | TxnOutcome::TooLarge => {
+                TxnOutcome::Applied(_) | TxnOutcome::Conflict(_) | TxnOutcome::Rejected => {
                     self.replication.record_store_contact(self.now());
                     return outcome;
                 }
--- a/src/controller/workers/delegation.rs
+++ b/src/controller/workers/delegation.rs
@@ -7,7 +7,9 @@
 use futures_channel::oneshot;
 
 use crate::controller::workers::heartbeats::heartbeat_reply;
-use crate::controller::{Controller, READ_TIMEOUT_S, READ_WAITERS_MAX, RETRY_S, WATCH_BATCH_S};
+use crate::controller::{
+    BARRIER_TIMEOUT_S, BARRIER_WAITERS_MAX, Controller, RETRY_AFTER_S, WATCH_BATCH_S,
+};
 use crate::http::Response;
 use crate::protocol::store::{Condition, Txn};
 use crate::protocol::workers::{Command, Heartbeat, TaskState};
@@ -89,11 +91,11 @@
             self.relays.forget(&heartbeat.zone);
             return None;
         };
-        if self.delegation_checks.waiting.borrow().len() >= READ_WAITERS_MAX {
+        if self.delegation_checks.waiting.borrow().len() >= BARRIER_WAITERS_MAX {
             return Some(Response::retry_later(
                 503,
                 "too many heartbeats wait for the check of a delegation",
-                RETRY_S,
+                RETRY_AFTER_S,
             ));
         }
         match self.check_delegation(delegation).await {
@@ -103,7 +105,7 @@
                 return Some(Response::retry_later(
                     503,
                     "the delegation can't be checked",
-                    RETRY_S,
+                    RETRY_AFTER_S,
                 ));
             }
         }
@@ -135,7 +137,7 @@
             .borrow_mut()
             .push(DelegationCheck { delegation, sender });
         self.delegation_checks.requested.set();
-        match self.runtime.timeout(READ_TIMEOUT_S, receiver).await {
+        match self.runtime.timeout(BARRIER_TIMEOUT_S, receiver).await {
             Ok(Ok(status)) => status,
             _ => DelegationStatus::Unknown,
         }
@@ -191,7 +193,7 @@
                 }
             }
             TxnOutcome::Conflict(_) => DelegationStatus::Revoked,
-            TxnOutcome::Refused | TxnOutcome::TooLarge | TxnOutcome::Unknown => {
+            TxnOutcome::Refused | TxnOutcome::Rejected | TxnOutcome::Unknown => {
                 DelegationStatus::Unknown
             }
         }
--- a/src/controller/workers/delegation/tests.rs
+++ b/src/controller/workers/delegation/tests.rs
@@ -61,7 +61,9 @@
                     return answer(status, body.into());
                 }
                 // A watch that never gets a change.
-                runtime.sleep(crate::controller::replication::WATCH_S).await;
+                runtime
+                    .sleep(crate::controller::replication::WATCH_TIMEOUT_S)
+                    .await;
                 answer(503, "{}".into())
             }) as _
         });
--- a/src/controller/workers/heartbeats.rs
+++ b/src/controller/workers/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of workers: answered as the leader, as its delegate, or with a redirect to the leader.
 
 use crate::controller::workers::delegation::stop_commands_for_ended_jobs;
-use crate::controller::{Controller, RETRY_S};
+use crate::controller::{Controller, RETRY_AFTER_S};
 use crate::fleet::HeartbeatOrigin;
 use crate::http::Response;
 use crate::protocol::workers::{Command, Heartbeat, HeartbeatReply, Redirect};
@@ -60,7 +60,7 @@
                 };
                 Response::json(421, &redirect)
             }
-            _ => Response::retry_later(503, "no leader is available", RETRY_S),
+            _ => Response::retry_later(503, "no leader is available", RETRY_AFTER_S),
         }
     }
 
@@ -72,10 +72,10 @@
         fencing_token: u64,
         now: Time,
     ) -> Option<Response> {
-        let (commands, has_work_waiting) = self.with_leader(fencing_token, |leader| {
+        let (commands, has_waiting_jobs) = self.with_leader(fencing_token, |leader| {
             leader.record_worker_contact(now);
             let commands = leader.on_heartbeat(heartbeat, HeartbeatOrigin::Periodic, now);
-            (commands, leader.has_work_waiting())
+            (commands, leader.has_waiting_jobs())
         })?;
         let Some(mut commands) = commands else {
             // The heartbeat is not new: it is a late copy, or an answer to a direct command overtook it, or its machine
@@ -86,7 +86,7 @@
             return Some(heartbeat_reply(fencing_token, commands));
         };
         self.leadership.round_due.set();
-        if has_work_waiting {
+        if has_waiting_jobs {
             // Tasks placed on the capacity that this heartbeat frees can be launched with its reply, once they are
             // stored.
             let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
@@ -107,9 +107,9 @@
         Some(match reply {
             Some(LeaderReply::Commands) => heartbeat_reply(fencing_token, commands),
             Some(LeaderReply::LeaseMustExpire) => {
-                Response::retry_later(503, "the worker's lease must expire", RETRY_S)
+                Response::retry_later(503, "the worker's lease must expire", RETRY_AFTER_S)
             }
-            None => Response::retry_later(503, "this controller no longer leads", RETRY_S),
+            None => Response::retry_later(503, "this controller no longer leads", RETRY_AFTER_S),
         })
     }
 
--- a/src/controller/workers/relay.rs
+++ b/src/controller/workers/relay.rs
@@ -253,7 +253,7 @@
             }],
         };
         match self.write_for_user(&txn).await {
-            TxnOutcome::Applied(_) | TxnOutcome::TooLarge => RelayWrite::Settled,
+            TxnOutcome::Applied(_) | TxnOutcome::Rejected => RelayWrite::Settled,
             TxnOutcome::Conflict(_) | TxnOutcome::Refused | TxnOutcome::Unknown => {
                 RelayWrite::Failed
             }
--- a/src/controller/workers/relay/tests.rs
+++ b/src/controller/workers/relay/tests.rs
@@ -12,7 +12,7 @@
     worker.heartbeat.fencing_token = 7;
     for task in 0..300 {
         let task = format!("j-{}/{}", task / 3, task % 3);
-        let start = Command::Start {
+        let start = Command::Launch {
             task: task.clone(),
             attempt: 4,
         };
--- a/src/fleet/delegations.rs
+++ b/src/fleet/delegations.rs
@@ -200,7 +200,7 @@
     /// Marks all delegations as revoked long ago. This disables the rule that no attempt is released because of silence
     /// where a delegate may answer, so that tests can show what the rule prevents.
     #[cfg(test)]
-    pub(super) fn forget(&mut self) {
+    pub(super) fn disable_delegation_guard(&mut self) {
         for delegation in self.by_zone.values_mut() {
             delegation.state = DelegationState::Revoked {
                 at: f64::NEG_INFINITY,
--- a/src/fleet/liveness.rs
+++ b/src/fleet/liveness.rs
@@ -28,7 +28,7 @@
     live_machines: usize,
     /// Whether enough machines make contact to assume that this controller is not partitioned. Only then does the
     /// silence of a machine show a fault of that machine.
-    pub(crate) trusted: bool,
+    pub(crate) controller_is_connected: bool,
     /// Whether most workers don't acknowledge this leader's answers.
     mostly_unacknowledged: bool,
 }
@@ -153,13 +153,13 @@
             .count();
         // If fewer than half of the machines make contact, a partition of this controller is more likely than a failure
         // of all silent machines. Then only the expiry of the workers' leases counts.
-        let trusted = live_machines * 2 >= up_machines().count()
+        let controller_is_connected = live_machines * 2 >= up_machines().count()
             && (live_machines < 2
                 || now - self.last_worker_contact() < interval_s * CONTACT_GAP_MAX_INTERVALS);
         SilenceEvidence {
             silence_limit_s,
             live_machines,
-            trusted,
+            controller_is_connected,
             mostly_unacknowledged: self.is_unacknowledged_by_workers(),
         }
     }
@@ -186,12 +186,14 @@
         }
         if let Some(since) = machine.unresponsive_since {
             // Its worker's lease is not renewed any more, so the tasks on the machine end when it expires.
-            return evidence.trusted && !evidence.mostly_unacknowledged && is_silent_since(since);
+            return evidence.controller_is_connected
+                && !evidence.mostly_unacknowledged
+                && is_silent_since(since);
         }
         if self.is_partitioned(machine) && machine.is_only_stopping() {
             // A failed gang can't be placed again before all of its tasks are off their machines, so the machine isn't
             // kept until the partition ends.
-            return evidence.trusted;
+            return evidence.controller_is_connected;
         }
         if machine.is_up() {
             // If most of a fleet dies at once, the few machines that are left never make the evidence trusted again,
@@ -202,17 +204,18 @@
             let exceeds_untrusted_limit = evidence.live_machines > 0
                 && self.silence_s(last_contact, now)
                     > self.worker_lease_expiry_s * UNTRUSTED_SILENCE_LEASE_EXPIRIES;
-            return (evidence.trusted || exceeds_untrusted_limit)
+            return (evidence.controller_is_connected || exceeds_untrusted_limit)
                 && self.is_silent(machine, catalog, now);
         }
         if let Some(running_since) = machine.running_since {
-            return evidence.trusted && is_silent_since(running_since.max(self.term_started_at));
+            return evidence.controller_is_connected
+                && is_silent_since(running_since.max(self.term_started_at));
         }
         if machine.listed_at.is_some() || machine.type_index.is_some() {
             let boot_s = machine.type_index.map_or(lease_s, |t| catalog[t].boot_s);
             return now - machine.rented_at > boot_s * self.config.tunables.lost_boots;
         }
         // The machine is known only from the records of a former leader.
-        evidence.trusted && is_silent_since(self.term_started_at)
+        evidence.controller_is_connected && is_silent_since(self.term_started_at)
     }
 }
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -118,9 +118,9 @@
     pub unacknowledged_heartbeats: u32,
     /// Since when the worker is unresponsive, that is, seems not to receive this leader's answers.
     pub unresponsive_since: Option<Time>,
-    /// Attempts that exited in the present agent epoch and must not be reaped (forgotten by the worker): a direct
-    /// launch could start them again, see [`TaskAttempt::may_be_relaunched`].
-    attempts_not_to_reap: HashSet<NamedAttempt>,
+    /// Attempts that exited in the present agent epoch and must not be forgotten by the worker: a direct launch
+    /// could start them again, see [`TaskAttempt::may_be_relaunched`].
+    attempts_not_to_forget: HashSet<NamedAttempt>,
 }
 
 impl Machine {
@@ -164,7 +164,7 @@
             direct_call_in_flight: false,
             unacknowledged_heartbeats: 0,
             unresponsive_since: None,
-            attempts_not_to_reap: HashSet::new(),
+            attempts_not_to_forget: HashSet::new(),
         }
     }
 
@@ -241,8 +241,8 @@
         Some(task_attempt)
     }
 
-    /// Records that an attempt has completed: it takes no resources and waits to be reaped. Resets the count of
-    /// failures.
+    /// Records that an attempt has completed: it takes no resources and waits to be forgotten by the worker. Resets the
+    /// count of failures.
     pub(crate) fn complete_attempt(&mut self, key: &AttemptKey) {
         if let Some(task_attempt) = self.attempts.get_mut(key)
             && !task_attempt.completed
@@ -269,7 +269,7 @@
     /// Compares the attempts that are or may be on the machine with those that a new heartbeat lists (`reported`).
     /// Returns the attempts that are gone, and marks launches that were dropped to be sent again. `fenced`: whether the
     /// heartbeat shows this leader's fencing token.
-    pub(crate) fn gone_attempts(
+    pub(crate) fn reconcile_absent_attempts(
         &mut self,
         reported: &HashSet<AttemptKey>,
         origin: HeartbeatOrigin,
@@ -286,14 +286,14 @@
             .collect()
     }
 
-    /// Records that an exited attempt must not be reaped in the present agent epoch.
-    pub(crate) fn forbid_reaping(&mut self, attempt: NamedAttempt) {
-        self.attempts_not_to_reap.insert(attempt);
+    /// Records that an exited attempt must not be forgotten in the present agent epoch.
+    pub(crate) fn forbid_forgetting(&mut self, attempt: NamedAttempt) {
+        self.attempts_not_to_forget.insert(attempt);
     }
 
-    /// Returns whether an exited attempt may be reaped in the present agent epoch.
-    pub(crate) fn may_reap(&self, attempt: &NamedAttempt) -> bool {
-        !self.attempts_not_to_reap.contains(attempt)
+    /// Returns whether an exited attempt may be forgotten in the present agent epoch.
+    pub(crate) fn may_forget(&self, attempt: &NamedAttempt) -> bool {
+        !self.attempts_not_to_forget.contains(attempt)
     }
 
     /// Quarantines the machine because tasks keep failing on it: it gets no new work and is returned.
--- a/src/fleet/machine/heartbeats.rs
+++ b/src/fleet/machine/heartbeats.rs
@@ -54,7 +54,7 @@
         if heartbeat.agent_epoch > self.agent_epoch {
             // The worker rejects direct calls for an earlier agent epoch from now on, so the launches that they carried
             // are no longer in doubt.
-            self.attempts_not_to_reap.clear();
+            self.attempts_not_to_forget.clear();
             for task_attempt in self.attempts.values_mut().filter(|a| a.in_doubt()) {
                 task_attempt.direct_launch = None;
             }
@@ -113,7 +113,7 @@
         }
         self.agent_epoch = agent_epoch;
         self.sequence = 0;
-        self.attempts_not_to_reap.clear();
+        self.attempts_not_to_forget.clear();
         self.attempts.keys().copied().collect()
     }
 }
--- a/src/fleet/task_attempt.rs
+++ b/src/fleet/task_attempt.rs
@@ -110,9 +110,8 @@
         )
     }
 
-    /// Returns whether a late or repeated direct launch could start the attempt again once it is reaped (the worker has
-    /// forgotten it). If the attempt's launch is answered and it completed, starting it again is harmless, as it
-    /// completes again.
+    /// Returns whether a late or repeated direct launch could start the attempt again once the worker has forgotten
+    /// it. If the attempt's launch is answered and it completed, starting it again is harmless, as it completes again.
     pub(crate) fn may_be_relaunched(&self, exit_reason: ExitReason) -> bool {
         self.in_doubt() || (self.direct_launch.is_some() && exit_reason != ExitReason::Done)
     }
--- a/src/fleet/zones.rs
+++ b/src/fleet/zones.rs
@@ -105,12 +105,12 @@
     /// Disables the rule that no attempt is released because of silence where a delegate may answer, so that tests can
     /// show what the rule prevents.
     #[cfg(test)]
-    pub(crate) fn forget_delegations(&mut self) {
-        self.delegations.forget();
+    pub(crate) fn disable_delegation_guard(&mut self) {
+        self.delegations.disable_delegation_guard();
     }
 
     /// Schedules the deletion of a key that no controller reads any more.
-    pub(crate) fn delete_obsolete(&mut self, key: String) {
+    pub(crate) fn queue_obsolete_key(&mut self, key: String) {
         self.obsolete_keys.push(key);
     }
 
--- a/src/jobs/assignment_log.rs
+++ b/src/jobs/assignment_log.rs
@@ -264,7 +264,7 @@
     }
 
     /// Returns at most `max_records` invalid records, which can be deleted.
-    pub fn invalid(&self, max_records: usize) -> Vec<RecordNumber> {
+    pub fn invalid_records(&self, max_records: usize) -> Vec<RecordNumber> {
         let invalid = self.records.range(..self.oldest_valid);
         invalid
             .map(|(number, _)| *number)
@@ -290,7 +290,7 @@
 
     /// Returns at most `max_records` of the oldest valid records that exceed the number to keep, with the tasks that
     /// each holds.
-    pub fn surplus(
+    pub fn records_to_rewrite(
         &self,
         max_records: usize,
     ) -> impl Iterator<Item = (RecordNumber, &[(JobIndex, u32)])> {
--- a/src/jobs/dependency_graph.rs
+++ b/src/jobs/dependency_graph.rs
@@ -80,7 +80,7 @@
     }
 
     /// Handles the stored end of a job: `done` is true if the job is done and false if it is cancelled.
-    pub fn ended(&mut self, id: &Rc<str>, done: bool) {
+    pub fn record_end(&mut self, id: &Rc<str>, done: bool) {
         self.open_dependencies.remove(id);
         if done {
             for dependent in self.dependents.remove(id).unwrap_or_default() {
@@ -123,7 +123,7 @@
 
     /// Returns whether a job is blocked.
     #[cfg(test)]
-    pub fn is_waiting(&self, id: &str) -> bool {
+    pub fn is_blocked(&self, id: &str) -> bool {
         self.open_dependencies.contains_key(id)
     }
 
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -79,7 +79,7 @@
     last_attempt_number: u64,
     /// The time of day at moment 0 of [`Time`], in milliseconds since 1970. The controller sets it after the term has
     /// started; while it is None, ends of jobs are stored without their time of day.
-    pub unix_ms_at_start: Option<u64>,
+    pub unix_ms_at_time_zero: Option<u64>,
 }
 
 /// The leader's share of the state service's write rate; the rest is for users' requests.
@@ -129,7 +129,7 @@
                 now,
             ),
             last_attempt_number: fencing_token << ATTEMPT_COUNTER_BITS,
-            unix_ms_at_start: None,
+            unix_ms_at_time_zero: None,
             config,
         };
         let mut jobs: Vec<_> = replica.jobs.iter().collect();
@@ -164,13 +164,13 @@
     }
 
     /// Requests a scheduling pass, as something changed that may allow a waiting job to be placed.
-    pub(crate) fn request_placement(&mut self) {
-        self.scheduler.placement_requested = true;
+    pub(crate) fn request_scheduling_pass(&mut self) {
+        self.scheduler.scheduling_pass_requested = true;
     }
 
     /// Clears the request for a scheduling pass; returns whether there was one.
-    pub(crate) fn take_placement_request(&mut self) -> bool {
-        std::mem::take(&mut self.scheduler.placement_requested)
+    pub(crate) fn take_scheduling_pass_request(&mut self) -> bool {
+        std::mem::take(&mut self.scheduler.scheduling_pass_requested)
     }
 
     /// Adds a job to those with tasks to be placed.
@@ -183,10 +183,10 @@
         self.scheduler.waiting_jobs.remove(&index);
     }
 
-    /// Converts a moment to the time of day, in milliseconds since 1970. None if [`Leader::unix_ms_at_start`] isn't
+    /// Converts a moment to the time of day, in milliseconds since 1970. None if [`Leader::unix_ms_at_time_zero`] isn't
     /// set.
     fn unix_ms(&self, now: Time) -> Option<u64> {
-        self.unix_ms_at_start
+        self.unix_ms_at_time_zero
             .map(|start_ms| start_ms + (now * 1000.0) as u64)
     }
 
--- a/src/leader/assignment_writes.rs
+++ b/src/leader/assignment_writes.rs
@@ -160,7 +160,7 @@
     ) -> u64 {
         let mut oldest_valid = self.log.oldest_valid();
         let mut rewritten = Vec::new();
-        for (number, tasks) in self.log.surplus(REWRITTEN_RECORDS_MAX) {
+        for (number, tasks) in self.log.records_to_rewrite(REWRITTEN_RECORDS_MAX) {
             // The tasks of a finished job are not needed: its end is stored.
             let needed_job = |index: &JobIndex, task: u32| -> Option<&Job> {
                 let job = source.jobs.get(index)?;
--- a/src/leader/attempt_release.rs
+++ b/src/leader/attempt_release.rs
@@ -25,7 +25,7 @@
             self.release_attempt(machine_index, key, now);
         }
         self.fleet.remove(machine_index);
-        self.request_placement();
+        self.request_scheduling_pass();
     }
 
     /// Releases an attempt that is certain to be off its machine: frees its resources and, if the task is still
@@ -63,7 +63,7 @@
             self.enqueue_if_pending(key.job);
             self.on_task_released(key.job, key.task, now);
         }
-        self.request_placement();
+        self.request_scheduling_pass();
         self.mark_if_finished(key.job);
     }
 
@@ -87,7 +87,7 @@
                 .keys()
                 .any(|key| self.jobs[&key.job].spec.image == *image)
         {
-            machine.image_cache.cancel_fetch(image);
+            machine.image_cache.forget_fetch(image);
         }
     }
 }
--- a/src/leader/deadline_propagation.rs
+++ b/src/leader/deadline_propagation.rs
@@ -43,7 +43,7 @@
             }
             dependency.required_by = dependency.required_by.min(required_by);
             if is_raised {
-                leader.request_placement();
+                leader.request_scheduling_pass();
             }
             is_raised
         };
--- a/src/leader/direct_commands.rs
+++ b/src/leader/direct_commands.rs
@@ -66,7 +66,7 @@
                 && job.is_assignment_stored(key.task, key.attempt)
             {
                 task_attempt.record_launch(origin);
-                commands.push(Command::Start {
+                commands.push(Command::Launch {
                     task: task_name(&job.id, key.task),
                     attempt: key.attempt,
                 });
--- a/src/leader/job_lifecycle.rs
+++ b/src/leader/job_lifecycle.rs
@@ -60,7 +60,7 @@
         if !self.jobs[&index].is_blocked {
             self.record_arrival(index);
         }
-        self.request_placement();
+        self.request_scheduling_pass();
         Some(index)
     }
 
@@ -129,7 +129,7 @@
         job.ready_at = now;
         self.enqueue_if_pending(index);
         self.record_arrival(index);
-        self.request_placement();
+        self.request_scheduling_pass();
     }
 
     /// Ends a job as cancelled, as one of its direct or indirect dependencies is cancelled. The end is stored within
@@ -146,7 +146,7 @@
     }
 
     /// Handles the stored end of a job, whichever controller wrote it.
-    pub fn on_end(&mut self, id: &str, end: &EndRecord, now: Time) {
+    pub fn on_job_end_stored(&mut self, id: &str, end: &EndRecord, now: Time) {
         let Some(index) = self.job_index(id) else {
             return;
         };
@@ -210,7 +210,7 @@
     }
 
     /// Handles the completion of a task, which ran for `run_s` seconds if that is known.
-    pub(crate) fn on_task_done(&mut self, key: AttemptKey, run_s: Option<f64>, now: Time) {
+    pub(crate) fn on_task_completed(&mut self, key: AttemptKey, run_s: Option<f64>, now: Time) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
--- a/src/leader/reconciliation.rs
+++ b/src/leader/reconciliation.rs
@@ -67,14 +67,15 @@
         self.fleet.zones.record_contact(zone, now);
         let commands = self.reconcile_attempts(machine_index, heartbeat, origin, now);
         self.stop_before_preemption(machine_index, now);
-        let rule = self.scheduler.rule;
+        let pricing_rule = self.scheduler.pricing_rule;
         let machine = self.fleet.machines.get_mut(&machine_index)?;
         if machine.capacity.cpus > 0.0 {
-            machine.price = rule.price_of_load(machine.used.largest_share(machine.capacity));
+            machine.price =
+                pricing_rule.price_of_load(machine.used.largest_share(machine.capacity));
         }
         // A scheduling pass is worth its time only if the free capacity may have grown.
         if used_and_quarantined_before != (machine.used, machine.quarantined) || !was_schedulable {
-            self.request_placement();
+            self.request_scheduling_pass();
         }
         Some(commands)
     }
@@ -100,7 +101,8 @@
             commands.extend(self.on_reported_task(machine_index, reported, key, fenced, now));
         }
         let machine = self.fleet.machines.get_mut(&machine_index);
-        let gone = machine.map(|machine| machine.gone_attempts(&listed, origin, fenced));
+        let gone =
+            machine.map(|machine| machine.reconcile_absent_attempts(&listed, origin, fenced));
         for key in gone.unwrap_or_default() {
             self.release_attempt(machine_index, key, now);
         }
@@ -139,7 +141,7 @@
             };
             let named = NamedAttempt { task, attempt };
             let machine = self.fleet.machines.get(&machine_index);
-            let may_forget = machine.is_none_or(|machine| machine.may_reap(&named));
+            let may_forget = machine.is_none_or(|machine| machine.may_forget(&named));
             return (action == ExitedAttemptAction::Forget && may_forget).then_some(
                 Command::Forget {
                     task: named.task,
@@ -163,7 +165,7 @@
 
     /// Returns whether any job has tasks to be placed. If so, the controller holds the answer to a heartbeat for a
     /// short time, so that the answer can carry launches on the machine's free capacity.
-    pub fn has_work_waiting(&self) -> bool {
+    pub fn has_waiting_jobs(&self) -> bool {
         !self.scheduler.waiting_jobs.is_empty()
     }
 
@@ -191,7 +193,7 @@
             .as_ref()
             .is_some_and(|attempt| attempt.may_be_relaunched(exit_reason))
         {
-            machine.forbid_reaping(NamedAttempt {
+            machine.forbid_forgetting(NamedAttempt {
                 task: task_name(&job.id, key.task),
                 attempt: key.attempt,
             });
@@ -222,7 +224,7 @@
         let run_s = newly_completed
             .and_then(|attempt| attempt.running_since)
             .map(|since| now - since);
-        self.on_task_done(key, run_s, now);
+        self.on_task_completed(key, run_s, now);
         let job = &self.jobs[&key.job];
         ExitedAttemptAction::forget_if(job.end.is_some() || job.is_completion_stored(key.task))
     }
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -17,7 +17,7 @@
     /// is due. Called periodically.
     pub fn maintain_fleet(&mut self, now: Time) {
         // The end of a machine's or job's backoff is no event, so placement is tried again here.
-        self.request_placement();
+        self.request_scheduling_pass();
         self.expire_leases(now);
         self.return_lost_machines(now);
         let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
@@ -44,7 +44,7 @@
         for index in lost {
             self.return_machine(index, "lost");
         }
-        if evidence.trusted {
+        if evidence.controller_is_connected {
             self.fleet.detect_partitions(&self.catalog, now);
         }
     }
@@ -65,7 +65,7 @@
         }
         let (term_started_at, fencing_token) = (self.term_started_at, self.fencing_token);
         let (autoscaler, inputs) = self.autoscaler_with_inputs(now);
-        autoscaler.rent(plan, &inputs, term_started_at, fencing_token);
+        autoscaler.queue_rentals(plan, &inputs, term_started_at, fencing_token);
     }
 
     /// Borrows the autoscaler together with the parts of the leader's state that its decisions need.
@@ -76,7 +76,7 @@
             fleet: &self.fleet,
             jobs: &self.jobs,
             waiting_jobs: &self.scheduler.waiting_jobs,
-            rule: self.scheduler.rule,
+            pricing_rule: self.scheduler.pricing_rule,
             now,
         };
         (&mut self.autoscaler, inputs)
@@ -89,7 +89,7 @@
                 continue;
             };
             if let Some(machine) = unit
-                .index
+                .machine_index
                 .and_then(|index| self.fleet.machines.get_mut(&index))
             {
                 machine.draining = false;
@@ -165,7 +165,7 @@
         let autoscaler = &mut self.autoscaler;
         match (call, answer) {
             // Only prices are updated during a term. A list with other machine types is ignored.
-            (CloudCall::Types, CloudAnswer::Types(types))
+            (CloudCall::MachineTypes, CloudAnswer::MachineTypes(types))
                 if self.catalog.has_same_types(&types) =>
             {
                 self.catalog = MachineCatalog::new(Rc::new(types));
@@ -189,7 +189,7 @@
                 }
             }
             // After a failure, prices are requested at the next interval, and a rental or return is repeated.
-            (CloudCall::Types | CloudCall::Rent(..) | CloudCall::Delete(_), _) => {}
+            (CloudCall::MachineTypes | CloudCall::Rent(..) | CloudCall::Delete(_), _) => {}
         }
     }
 
@@ -218,7 +218,7 @@
         self.autoscaler.borrowing_priority_limit(
             type_index,
             &self.catalog,
-            &self.scheduler.rule,
+            &self.scheduler.pricing_rule,
             &self.jobs,
             &self.scheduler.waiting_jobs,
         )
--- a/src/leader/scheduling.rs
+++ b/src/leader/scheduling.rs
@@ -11,7 +11,7 @@
     /// Runs a scheduling pass over the waiting jobs, if one is requested. Each task is launched once its assignment is
     /// stored.
     pub fn schedule(&mut self, now: Time) {
-        if !self.take_placement_request() || self.scheduler.waiting_jobs.is_empty() {
+        if !self.take_scheduling_pass_request() || self.scheduler.waiting_jobs.is_empty() {
             return;
         }
         let borrowing_priority_limit = |type_index| self.borrowing_priority_limit(type_index);
@@ -57,12 +57,12 @@
         let request = PreemptionRequest {
             priority: class.spec.priority,
             waiting_tasks: class.pending_tasks as usize,
-            ready_machines: units_for_large_tasks()
-                .filter(|unit| unit.up && !unit.runs_small_tasks && !unit.runs_large_tasks)
+            empty_machines: units_for_large_tasks()
+                .filter(|unit| unit.is_up && !unit.runs_small_tasks && !unit.runs_large_tasks)
                 .count(),
             occupied_machines: units_for_large_tasks()
                 .filter(|unit| unit.runs_small_tasks)
-                .filter_map(|unit| unit.index)
+                .filter_map(|unit| unit.machine_index)
                 .collect(),
         };
         let preempted = request.select(&self.fleet, &self.jobs);
--- a/src/leader/state_writer.rs
+++ b/src/leader/state_writer.rs
@@ -252,7 +252,7 @@
         let records_max = changes_max
             .saturating_sub(changes.len())
             .min(DELETED_RECORDS_MAX);
-        draft.content.deleted_records = self.log.invalid(records_max);
+        draft.content.deleted_records = self.log.invalid_records(records_max);
         for number in &draft.content.deleted_records {
             let key = keys::assignment_record(*number);
             changes.push(Change::Delete { key });
--- a/src/leader/transaction_outcomes.rs
+++ b/src/leader/transaction_outcomes.rs
@@ -65,7 +65,7 @@
                 self.writer.budget.on_not_applied();
                 AfterTransaction::Retry
             }
-            TxnOutcome::TooLarge => {
+            TxnOutcome::Rejected => {
                 // Repeats of the transaction would be rejected each time, and would block all other writes. Its content
                 // is written in smaller transactions instead.
                 self.writer.halve_limits();
@@ -199,7 +199,7 @@
         if let Some(job) = self.jobs.remove(&index) {
             for part in 1..=job.dependency_parts {
                 let key = keys::dependency_part(&job.id, part);
-                self.fleet.zones.delete_obsolete(key);
+                self.fleet.zones.queue_obsolete_key(key);
             }
         }
         self.dequeue(index);
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -102,7 +102,7 @@
     let elected = match store.txn(&txn).await {
         TxnOutcome::Applied(fencing_token) => Some(fencing_token),
         TxnOutcome::Unknown => read_back_election(store, &record, lease).await,
-        TxnOutcome::Conflict(_) | TxnOutcome::Refused | TxnOutcome::TooLarge => None,
+        TxnOutcome::Conflict(_) | TxnOutcome::Refused | TxnOutcome::Rejected => None,
     };
     let Some(fencing_token) = elected else {
         // Once the lease is revoked, a late copy of the transaction fails, as it attaches the key to that lease.
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -66,7 +66,9 @@
                 }
             };
             host = Some(heartbeat.host.clone());
-            self.forecast.borrow_mut().learn(&heartbeat.run_times);
+            self.forecast
+                .borrow_mut()
+                .adopt_run_times(&heartbeat.run_times);
             self.peers.record(heartbeat, self.runtime.now());
         }
     }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -115,7 +115,7 @@
 pub enum Command {
     /// Starts a task; without effect if the worker already has this attempt of it, in any state.
     #[serde(rename = "launch")]
-    Start {
+    Launch {
         /// The task's name.
         #[serde(rename = "Leg")]
         task: String,
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -33,11 +33,11 @@
 /// The scheduler's state between passes.
 pub(crate) struct Scheduler {
     /// Decides which machine a task gets.
-    pub(crate) rule: PricingRule,
+    pub(crate) pricing_rule: PricingRule,
     /// Jobs that have pending tasks.
     pub(crate) waiting_jobs: BTreeSet<JobIndex>,
     /// Whether a scheduling pass should run because of a change since the last one.
-    pub(crate) placement_requested: bool,
+    pub(crate) scheduling_pass_requested: bool,
     /// The fraction of the schedulable machines that have or fetch each image, as of the last update.
     pub(crate) image_prevalence: ImagePrevalence,
 }
@@ -46,9 +46,9 @@
     /// Creates a scheduler without waiting jobs and requests a first pass.
     pub(crate) fn new(tunables: &Tunables) -> Self {
         Scheduler {
-            rule: PricingRule::new(tunables.rho, tunables.large_share),
+            pricing_rule: PricingRule::new(tunables.rho, tunables.large_share),
             waiting_jobs: BTreeSet::new(),
-            placement_requested: true,
+            scheduling_pass_requested: true,
             image_prevalence: ImagePrevalence::default(),
         }
     }
--- a/src/scheduler/candidate_queue.rs
+++ b/src/scheduler/candidate_queue.rs
@@ -108,9 +108,9 @@
 
 impl CandidateQueue {
     /// Creates an empty queue for tasks of this demand. `weight` is the weight of their job's priority.
-    pub fn new(rule: PricingRule, demand: Resources, weight: f64) -> Self {
+    pub fn new(pricing_rule: PricingRule, demand: Resources, weight: f64) -> Self {
         CandidateQueue {
-            rule,
+            rule: pricing_rule,
             demand,
             weight,
             groups: BTreeMap::new(),
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -162,7 +162,7 @@
                 .any(|candidate| is_allowed(candidate) && is_failure_free(candidate));
         let policy = self.image_wait_policy(job);
         let avoids_spot = job.is_chain_step_with_deadline();
-        let mut queue = CandidateQueue::new(self.scheduler.rule, resources, weight);
+        let mut queue = CandidateQueue::new(self.scheduler.pricing_rule, resources, weight);
         for (candidate_index, candidate) in candidates.iter().enumerate() {
             if !resources.fits(candidate.load.free())
                 || !is_allowed(candidate)
@@ -199,7 +199,7 @@
                 is_allowed: is_type_allowed(&job.spec, &self.catalog[type_index]),
                 is_large: self
                     .scheduler
-                    .rule
+                    .pricing_rule
                     .is_large(resources, self.catalog.capacity(type_index)),
             })
             .collect()
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -142,7 +142,10 @@
         let capacity = self.catalog.capacity(type_index);
         is_type_allowed(&job.spec, &self.catalog[type_index])
             && (role == MachineRole::Large
-                || !self.scheduler.rule.is_large(job.task_resources(), capacity))
+                || !self
+                    .scheduler
+                    .pricing_rule
+                    .is_large(job.task_resources(), capacity))
     }
 }
 
--- a/src/scheduler/image_cache.rs
+++ b/src/scheduler/image_cache.rs
@@ -104,7 +104,7 @@
     }
 
     /// Removes an image unless it is known to be present: the worker cancels its fetch once no task needs the image.
-    pub fn cancel_fetch(&mut self, name: &str) {
+    pub fn forget_fetch(&mut self, name: &str) {
         self.images
             .retain(|image| image.state == ImageState::Present || *image.name != *name);
     }
--- a/src/scheduler/image_cache/tests.rs
+++ b/src/scheduler/image_cache/tests.rs
@@ -20,8 +20,8 @@
     images.observe("a", 2.0, true, CACHE, 3.0);
     assert_eq!(images.remaining_fetch_s("a", 3.0), Some(0.0));
     // No task needs the images any more: the incomplete fetch of "b" is cancelled, "a" is present and stays.
-    images.cancel_fetch("b");
-    images.cancel_fetch("a");
+    images.forget_fetch("b");
+    images.forget_fetch("a");
     assert_eq!(images.remaining_fetch_s("b", 3.0), None);
     assert_eq!(images.fetch_backlog_s(3.0), 0.0);
     images.observe("c", 2.0, true, CACHE, 4.0);
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -16,7 +16,7 @@
     /// The number of waiting tasks.
     pub(crate) waiting_tasks: usize,
     /// The number of machines kept for large tasks that are up and run no tasks.
-    pub(crate) ready_machines: usize,
+    pub(crate) empty_machines: usize,
     /// The machines kept for large tasks that run small tasks, in the order in which they are to be emptied.
     pub(crate) occupied_machines: Vec<MachineIndex>,
 }
@@ -39,10 +39,10 @@
 }
 
 impl PreemptionRequest {
-    /// Selects the attempts to stop. Considers one occupied machine for each waiting task without a ready machine, and
+    /// Selects the attempts to stop. Considers one occupied machine for each waiting task without an empty machine, and
     /// skips machines with any attempt of the same or a higher priority.
     pub(crate) fn select(&self, fleet: &Fleet, jobs: &JobTable) -> Vec<PreemptedAttempt> {
-        let machines_needed = self.waiting_tasks.saturating_sub(self.ready_machines);
+        let machines_needed = self.waiting_tasks.saturating_sub(self.empty_machines);
         self.occupied_machines
             .iter()
             .take(machines_needed)
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -167,7 +167,7 @@
                 let logged = &body[..body.len().min(LOGGED_BODY_BYTES_MAX)];
                 let reason = String::from_utf8_lossy(logged);
                 tracing::warn!(%reason, "state service rejected a transaction");
-                TxnOutcome::TooLarge
+                TxnOutcome::Rejected
             }
             Ok((status, _)) => {
                 tracing::warn!(
--- a/src/store/replica.rs
+++ b/src/store/replica.rs
@@ -153,7 +153,7 @@
     pub fn advance_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
         if let Some(ledger) = &mut self.quota {
-            ledger.reached(revision);
+            ledger.advance_to(revision);
         }
     }
 
--- a/src/store/replica/jobs.rs
+++ b/src/store/replica/jobs.rs
@@ -76,7 +76,7 @@
         }
         if self.is_loaded {
             let is_done = record.end == JobEnd::Done;
-            self.dependencies.ended(&id, is_done);
+            self.dependencies.record_end(&id, is_done);
         }
         Some(ReplicaEvent::JobEnd(id))
     }
--- a/src/store/transaction.rs
+++ b/src/store/transaction.rs
@@ -17,7 +17,7 @@
     Refused,
     /// The transaction was not applied, and a retry would fail as well: the service rejected it, usually because it
     /// exceeds a size limit, or because the lease that a key is to be attached to has expired.
-    TooLarge,
+    Rejected,
     /// The transaction may have been applied, or may still be applied later: the caller must read the keys back before
     /// it acts on either outcome.
     Unknown,
--- a/src/test_support.rs
+++ b/src/test_support.rs
@@ -201,7 +201,7 @@
         let tasks = &mut self.heartbeat.tasks;
         for command in commands {
             match command {
-                Command::Start { task, attempt } => {
+                Command::Launch { task, attempt } => {
                     if !tasks
                         .iter()
                         .any(|t| t.task == *task && t.attempt == *attempt)
--- a/src/tests/dependency_graph_examples.rs
+++ b/src/tests/dependency_graph_examples.rs
@@ -26,13 +26,13 @@
     let mut graph = DependencyGraph::default();
     graph.add(&"c".into(), &ids(&["a", "b"]), always_open);
     graph.add(&"d".into(), &ids(&["c"]), always_open);
-    graph.ended(&"a".into(), true);
+    graph.record_end(&"a".into(), true);
     // The repeated end of "a" must not count as the end of "b".
-    graph.ended(&"a".into(), true);
+    graph.record_end(&"a".into(), true);
     assert_eq!(graph.take_changes(), ReadinessChanges::default());
-    graph.ended(&"b".into(), true);
+    graph.record_end(&"b".into(), true);
     assert_eq!(sorted(&graph.take_changes().ready), ["c"]);
-    assert!(!graph.is_waiting("c") && graph.is_waiting("d"));
+    assert!(!graph.is_blocked("c") && graph.is_blocked("d"));
     // A job that is submitted after all its dependencies are done is ready at once.
     graph.add(&"e".into(), &ids(&["a", "b"]), |_| JobOutcome::Done);
     assert_eq!(sorted(&graph.take_changes().ready), ["e"]);
@@ -47,15 +47,15 @@
     graph.add(&"c".into(), &ids(&["a", "x"]), always_open);
     graph.add(&"d".into(), &ids(&["b", "c"]), always_open);
     graph.add(&"y".into(), &ids(&["x"]), always_open);
-    graph.ended(&"a".into(), false);
+    graph.record_end(&"a".into(), false);
     assert_eq!(sorted(&graph.take_changes().cancelled), ["b", "c", "d"]);
     // A job is cancelled at once if one of its dependencies was cancelled through a dependency of its own.
     graph.add(&"e".into(), &ids(&["x", "d"]), always_open);
     assert_eq!(sorted(&graph.take_changes().cancelled), ["e"]);
-    graph.ended(&"x".into(), true);
+    graph.record_end(&"x".into(), true);
     assert_eq!(sorted(&graph.take_changes().ready), ["y"]);
     // The derived end of "b" is stored: nothing new follows from it.
-    graph.ended(&"b".into(), false);
+    graph.record_end(&"b".into(), false);
     assert_eq!(graph.take_changes(), ReadinessChanges::default());
     graph.add(&"f".into(), &ids(&["b"]), |_| JobOutcome::Cancelled);
     assert_eq!(sorted(&graph.take_changes().cancelled), ["f"]);
@@ -70,7 +70,7 @@
         graph.add(&name(n).into(), &[name(n - 1)], always_open);
         graph.add(&name(CHAIN_JOBS + n).into(), &[name(0)], always_open);
     }
-    graph.ended(&name(0).into(), false);
+    graph.record_end(&name(0).into(), false);
     assert_eq!(graph.take_changes().cancelled.len(), 2 * (CHAIN_JOBS - 1));
     let mut priority = vec![0; CHAIN_JOBS];
     priority[CHAIN_JOBS - 1] = 3;
--- a/src/tests/random_faults/delivery.rs
+++ b/src/tests/random_faults/delivery.rs
@@ -145,7 +145,7 @@
                 record,
             }) => {
                 if let Some(leader) = self.nodes[node_index].leader.as_mut() {
-                    leader.on_end(&id, &record, now);
+                    leader.on_job_end_stored(&id, &record, now);
                 }
             }
         }
--- a/src/tests/random_faults/digest.rs
+++ b/src/tests/random_faults/digest.rs
@@ -53,7 +53,7 @@
 
     pub(super) fn cloud_call(&mut self, now: f64, fencing_token: u64, call: &CloudCall) {
         match call {
-            CloudCall::Types => self.record("types", now, fencing_token, &()),
+            CloudCall::MachineTypes => self.record("types", now, fencing_token, &()),
             CloudCall::List { after } => self.record("list", now, fencing_token, after),
             CloudCall::Rent(rent, _) => self.record("rent", now, fencing_token, rent),
             CloudCall::Delete(names) => self.record("delete", now, fencing_token, names),
--- a/src/tests/random_faults/leaders.rs
+++ b/src/tests/random_faults/leaders.rs
@@ -93,7 +93,7 @@
         };
         let fencing_token = leader.fencing_token;
         if forgets_delegations {
-            leader.fleet.zones.forget_delegations();
+            leader.fleet.zones.disable_delegation_guard();
         }
         if maintenance_due {
             leader.maintain_fleet(now);
@@ -219,7 +219,7 @@
     /// Carries out a call to the cloud. A repeated rental request returns the machines of the first one.
     pub(super) fn answer_cloud_call(&mut self, call: &CloudCall) -> CloudAnswer {
         match call {
-            CloudCall::Types => CloudAnswer::Failed,
+            CloudCall::MachineTypes => CloudAnswer::Failed,
             CloudCall::List { .. } => {
                 let listed = self.workers.iter().map(|(name, worker)| ListedMachine {
                     id: name.clone(),
--- a/src/tests/random_faults/machines.rs
+++ b/src/tests/random_faults/machines.rs
@@ -17,7 +17,7 @@
             8.0
         };
         for command in commands {
-            let Command::Start { task, attempt } = command else {
+            let Command::Launch { task, attempt } = command else {
                 worker.fake.execute(
                     worker.fake.heartbeat.fencing_token,
                     std::slice::from_ref(command),
--- a/src/tests/scenarios.rs
+++ b/src/tests/scenarios.rs
@@ -16,7 +16,7 @@
 use crate::test_support::{FakeStore, FakeWorker, job};
 
 fn count_launches(commands: &[Command]) -> usize {
-    let is_launch = |command: &&Command| matches!(command, Command::Start { .. });
+    let is_launch = |command: &&Command| matches!(command, Command::Launch { .. });
     commands.iter().filter(is_launch).count()
 }
 
@@ -55,7 +55,7 @@
         match call {
             CloudCall::Delete(names) => return names,
             CloudCall::Rent(..) => leader.on_cloud_answer(call, CloudAnswer::NoCapacity, now),
-            CloudCall::List { .. } | CloudCall::Types => {
+            CloudCall::List { .. } | CloudCall::MachineTypes => {
                 leader.on_cloud_answer(call, CloudAnswer::Failed, now);
             }
         }
--- a/src/tests/scenarios/direct_commands.rs
+++ b/src/tests/scenarios/direct_commands.rs
@@ -118,7 +118,7 @@
         ended_unix_ms: None,
     };
     store.put(keys::job_end("j-1"), &end);
-    leader.on_end("j-1", &end, 3.5);
+    leader.on_job_end_stored("j-1", &end, 3.5);
     let mut returned = Vec::new();
     let mut now = 3.5;
     while returned.is_empty() {
--- a/src/tests/scenarios/scaling.rs
+++ b/src/tests/scenarios/scaling.rs
@@ -134,7 +134,7 @@
                     workers.retain(|worker| !names.contains(&worker.heartbeat.machine));
                     CloudAnswer::Deleted
                 }
-                CloudCall::Types => CloudAnswer::Failed,
+                CloudCall::MachineTypes => CloudAnswer::Failed,
             };
             leader.on_cloud_answer(call, answer, now);
         }
--- a/src/tests/scenarios/tasks.rs
+++ b/src/tests/scenarios/tasks.rs
@@ -92,7 +92,7 @@
         panic!("{former_task:?}");
     };
     assert!(
-        matches!(&commands[..], [Command::Start { attempt, .. }] if *attempt > former_attempt),
+        matches!(&commands[..], [Command::Launch { attempt, .. }] if *attempt > former_attempt),
         "{commands:?}"
     );
 }
@@ -152,7 +152,7 @@
         );
         let expected = if cancelled_first {
             assert!(matches!(outcome, TxnOutcome::Conflict(_)));
-            leader.on_end("j-1", &end, 3.1);
+            leader.on_job_end_stored("j-1", &end, 3.1);
             JobEnd::Cancelled
         } else {
             JobEnd::Done
@@ -181,7 +181,7 @@
         ended_unix_ms: None,
     };
     store.put(keys::job_end("j-1"), &end);
-    leader.on_end("j-1", &end, 3.0);
+    leader.on_job_end_stored("j-1", &end, 3.0);
     // Each of the four running tasks is stopped by a direct command.
     let messages = leader.take_direct_commands(3.0, 0.0, 10);
     assert_eq!(messages.len(), 1);
--- a/src/tests/scenarios/writes.rs
+++ b/src/tests/scenarios/writes.rs
@@ -304,11 +304,11 @@
         for completion in 0..2 {
             let id = &ids[(2 * step + completion) as usize % ids.len()];
             let key = (leader.job_index(id).unwrap(), step / 25, 1).into();
-            leader.on_task_done(key, None, now);
+            leader.on_task_completed(key, None, now);
         }
         if step == 400 {
             let key = (leader.job_index("j-100").unwrap(), 0, 1).into();
-            leader.on_task_done(key, None, now);
+            leader.on_task_completed(key, None, now);
         }
         if let Some(txn) = leader.next_transaction(now) {
             let outcome = store.apply(&txn);
--- a/src/tests/scenarios/zones.rs
+++ b/src/tests/scenarios/zones.rs
@@ -52,7 +52,7 @@
                     CloudAnswer::Deleted
                 }
                 CloudCall::List { .. } => CloudAnswer::List(Vec::new(), false),
-                CloudCall::Types => CloudAnswer::Failed,
+                CloudCall::MachineTypes => CloudAnswer::Failed,
             };
             leader.on_cloud_answer(call, answer, now);
         }
--- a/src/tests/state_limits.rs
+++ b/src/tests/state_limits.rs
@@ -287,7 +287,7 @@
             let id = long_id(rng.random_range(0..3));
             let task = format!("{id}/{}", rng.random_range(0..5000));
             if expected.insert(task.clone()) {
-                let launch = Command::Start {
+                let launch = Command::Launch {
                     task: task.clone(),
                     attempt: u64::MAX / 2,
                 };
