--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -116,7 +116,7 @@
 pub enum Command {
     /// Launches a task. Has no effect if the worker already knows this attempt, in whatever state.
     #[serde(rename = "launch")]
-    Start {
+    Launch {
         /// Name of the task.
         #[serde(rename = "Leg")]
         task: String,
