--- a/src/http.rs
+++ b/src/http.rs
@@ -1,5 +1,5 @@
-//! Bounded HTTP/1.1, server and client. Heads are parsed by httparse; `framing` finds the ends of bodies, with
-//! limits on all sizes.
+//! HTTP/1.1 server and client with limits on all sizes. `httparse` parses the message heads; `framing` finds the
+//! ends of the bodies.
 
 mod client;
 mod framing;
@@ -11,39 +11,39 @@
 use crate::runtime::Stream;
 use framing::{Framing, message_framing};
 
-/// Largest head of a message, in bytes.
-const HEAD_MAX: usize = 16 * 1024;
-/// Largest number of headers of a message.
+/// Maximum size of a message head, in bytes.
+const HEAD_BYTES_MAX: usize = 16 * 1024;
+/// Maximum number of headers in a message.
 const HEADERS_MAX: usize = 64;
-/// Largest body of a request in bytes, as the protocol says.
-pub const BODY_MAX: usize = 64 * 1024;
-/// Bytes read at once.
-const READ_CHUNK: usize = 4 * 1024;
+/// Maximum size of a request body, in bytes, as defined by the protocol.
+pub const BODY_BYTES_MAX: usize = 64 * 1024;
+/// Maximum number of bytes requested in one read from a connection.
+const READ_CHUNK_BYTES: usize = 4 * 1024;
 
-/// A request as the server passes it to its handler.
+/// A request as the server passes it to its [`Handler`].
 #[derive(Debug)]
 pub struct Request {
-    /// Method, such as `GET`.
+    /// The method, such as `GET`.
     pub method: String,
-    /// Path with the query.
+    /// The request target: the path, including the query if there is one.
     pub path: String,
-    /// Body; empty if there is none.
+    /// The decoded body; empty if the request has none.
     pub body: Vec<u8>,
 }
 
-/// A response.
+/// A response to a request, with a JSON body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
-    /// JSON body.
+    /// Body, encoded as JSON.
     pub body: Vec<u8>,
-    /// Seconds after which the client may try again (`Retry-After`).
+    /// Seconds after which the client may retry, sent as `Retry-After`; `None` omits the header.
     pub retry_after: Option<u32>,
 }
 
 impl Response {
-    /// A response with a JSON body.
+    /// Creates a response with `value` as its JSON body.
     pub fn json(status: u16, value: &impl serde::Serialize) -> Self {
         Response {
             status,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// An error with its reason.
+    /// Creates an error response with the body `{"error": reason}`.
     pub fn error(status: u16, reason: &str) -> Self {
         Response::json(status, &serde_json::json!({ "error": reason }))
     }
 
-    /// A temporary error: the client may try again after so many seconds.
+    /// Creates the response for a temporary error: the client may retry after `seconds`.
     pub fn retry_later(status: u16, reason: &str, seconds: u32) -> Self {
         Response {
             retry_after: Some(seconds),
@@ -73,8 +73,8 @@
             self.body.len()
         )
         .into_bytes();
-        if let Some(s) = self.retry_after {
-            out.extend_from_slice(format!("Retry-After: {s}\r\n").as_bytes());
+        if let Some(seconds) = self.retry_after {
+            out.extend_from_slice(format!("Retry-After: {seconds}\r\n").as_bytes());
         }
         if close {
             out.extend_from_slice(b"Connection: close\r\n");
@@ -105,24 +105,25 @@
     }
 }
 
-/// Why a message is refused.
+/// Why a request or response is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// It breaks the syntax of HTTP/1.1, or contradicts itself.
+    /// The message violates the HTTP/1.1 syntax, or its headers contradict each other.
     #[error("malformed message")]
     Malformed,
-    /// The head has too many bytes or headers.
+    /// The head exceeds the limit on its bytes or on the number of headers.
     #[error("head too large")]
     HeadTooLarge,
-    /// The body has too many bytes.
+    /// The body exceeds the limit on its bytes.
     #[error("body too large")]
     BodyTooLarge,
-    /// The transfer coding is another one than `chunked`.
+    /// The message uses a transfer coding other than `chunked`.
     #[error("transfer coding not known")]
     UnknownCoding,
 }
 
 impl MessageError {
+    /// The status code with which the server rejects such a request.
     fn status(self) -> u16 {
         match self {
             MessageError::Malformed => 400,
@@ -133,25 +134,27 @@
     }
 }
 
-/// The head of a request.
+/// The parsed head of a request.
 struct ParsedHead {
     method: String,
     path: String,
     framing: Framing,
-    /// Whether the connection ends after the response.
+    /// Whether the server must close the connection after the response.
     close: bool,
-    /// Whether the client waits for an interim response before it sends the body.
+    /// Whether the client waits for the interim response `100 Continue` before it sends the body.
     expects_continue: bool,
-    /// Length of the head in the buffer.
+    /// Length of the head in bytes; the body starts there.
     len: usize,
 }
 
-/// Parses the head at the front of `buf`; `None` if more bytes are needed.
+/// Parses the request head at the start of `buf`; returns `None` if more bytes are needed.
 fn parse_request_head(buf: &[u8]) -> Result<Option<ParsedHead>, MessageError> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(buf) {
-        Ok(httparse::Status::Complete(len)) if len > HEAD_MAX => Err(MessageError::HeadTooLarge),
+        Ok(httparse::Status::Complete(len)) if len > HEAD_BYTES_MAX => {
+            Err(MessageError::HeadTooLarge)
+        }
         Ok(httparse::Status::Complete(len)) => {
             let framing = message_framing(request.headers, Framing::Length(0))?;
             Ok(Some(ParsedHead {
@@ -166,29 +169,31 @@
                 len,
             }))
         }
-        Ok(httparse::Status::Partial) if buf.len() > HEAD_MAX => Err(MessageError::HeadTooLarge),
+        Ok(httparse::Status::Partial) if buf.len() > HEAD_BYTES_MAX => {
+            Err(MessageError::HeadTooLarge)
+        }
         Ok(httparse::Status::Partial) => Ok(None),
         Err(httparse::Error::TooManyHeaders) => Err(MessageError::HeadTooLarge),
         Err(_) => Err(MessageError::Malformed),
     }
 }
 
-/// Result of a read.
+/// Result of [`fill`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fill {
-    /// Bytes were added to the buffer.
+    /// At least one byte was appended to the buffer.
     More,
-    /// The stream has ended.
+    /// The peer closed the connection.
     End,
 }
 
-/// Reads more bytes to the end of `buf`.
+/// Reads once from `stream` and appends the bytes to `buf`.
 async fn fill(stream: &mut Stream, buf: &mut Vec<u8>) -> std::io::Result<Fill> {
     let start = buf.len();
-    buf.resize(start + READ_CHUNK, 0);
-    let got = stream.read(&mut buf[start..]).await;
-    buf.truncate(start + *got.as_ref().unwrap_or(&0));
-    Ok(if got? > 0 { Fill::More } else { Fill::End })
+    buf.resize(start + READ_CHUNK_BYTES, 0);
+    let count = stream.read(&mut buf[start..]).await;
+    buf.truncate(start + *count.as_ref().unwrap_or(&0));
+    Ok(if count? > 0 { Fill::More } else { Fill::End })
 }
 
 #[cfg(test)]
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -1,35 +1,36 @@
-//! Framing of bodies: by length, in chunks, or until the connection closes.
+//! Framing of message bodies: by length, in chunks, or up to the end of the connection.
 
-use super::{HEAD_MAX, MessageError};
+use super::{HEAD_BYTES_MAX, MessageError};
 
-/// How the end of a body is found.
+/// How the receiver finds the end of a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Framing {
-    /// After so many bytes.
+    /// The body has this number of bytes (`Content-Length`).
     Length(usize),
-    /// After the last chunk.
+    /// The body ends with the chunk of size zero (`Transfer-Encoding: chunked`).
     Chunked,
-    /// At the end of the connection.
+    /// The body ends where the sender closes the connection; only responses may use this.
     UntilClose,
 }
 
-/// What the headers of a message say about its body and the connection.
+/// Framing of the body and handling of the connection, as the headers of a message specify them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct MessageFraming {
     pub body: Framing,
-    /// Whether the connection ends after the message.
+    /// Whether the sender asks to close the connection (`Connection: close`).
     pub close: bool,
 }
 
-/// A body that has arrived as a whole.
+/// A body that was received completely and decoded.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) struct TakenBody {
+pub(super) struct DecodedBody {
     pub body: Vec<u8>,
-    /// Length of the message, or of the body alone, in the buffer.
-    pub used: usize,
+    /// Bytes to remove from the buffer: up to the end of the body, from the start of the message in [`decode_body`]
+    /// and from the start of the body in [`decode_chunked`].
+    pub consumed_bytes: usize,
 }
 
-/// Reads the framing from the headers; a body without any has the framing `default`.
+/// Determines the framing from the headers; a message that specifies none has a body framed as `default`.
 pub(super) fn message_framing(
     headers: &[httparse::Header<'_>],
     default: Framing,
@@ -39,12 +40,13 @@
     let mut close = false;
     for header in headers {
         if header.name.eq_ignore_ascii_case("content-length") {
-            let n = content_length(header.value)?;
-            // Two lengths that differ are an attempt to smuggle a request.
-            if length.is_some_and(|l| l != n) {
+            let value = content_length(header.value)?;
+            // Two different lengths indicate request smuggling: each receiver on the path would find another end of
+            // the request.
+            if length.is_some_and(|previous| previous != value) {
                 return Err(MessageError::Malformed);
             }
-            length = Some(n);
+            length = Some(value);
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             if !header.value.trim_ascii().eq_ignore_ascii_case(b"chunked") {
                 return Err(MessageError::UnknownCoding);
@@ -60,7 +62,7 @@
     let body = match (chunked, length) {
         (true, Some(_)) => return Err(MessageError::Malformed),
         (true, None) => Framing::Chunked,
-        (false, Some(n)) => Framing::Length(n),
+        (false, Some(length)) => Framing::Length(length),
         (false, None) => default,
     };
     Ok(MessageFraming { body, close })
@@ -76,25 +78,28 @@
     text.parse().map_err(|_| MessageError::BodyTooLarge)
 }
 
-/// Takes a chunked body of at most `max` bytes from the front of `buf`; `None` if more bytes are needed.
-pub(super) fn take_chunked(buf: &[u8], max: usize) -> Result<Option<TakenBody>, MessageError> {
+/// Decodes a chunked body of at most `max` bytes at the start of `buf`; returns `None` if more bytes are needed.
+pub(super) fn decode_chunked(buf: &[u8], max: usize) -> Result<Option<DecodedBody>, MessageError> {
     let mut body = Vec::new();
-    let mut at = 0;
+    let mut position = 0;
     loop {
-        match httparse::parse_chunk_size(&buf[at..]).map_err(|_| MessageError::Malformed)? {
+        match httparse::parse_chunk_size(&buf[position..]).map_err(|_| MessageError::Malformed)? {
             httparse::Status::Partial => {
-                return if buf.len() - at > HEAD_MAX {
+                return if buf.len() - position > HEAD_BYTES_MAX {
                     Err(MessageError::Malformed)
                 } else {
                     Ok(None)
                 };
             }
-            httparse::Status::Complete((head, size)) => {
-                at += head;
+            httparse::Status::Complete((size_line_bytes, size)) => {
+                position += size_line_bytes;
                 if size == 0 {
-                    // No sender uses trailers: only the empty line is taken.
-                    return match buf.get(at..at + 2) {
-                        Some(b"\r\n") => Ok(Some(TakenBody { body, used: at + 2 })),
+                    // No client or service of this system sends trailers: only the empty line is accepted.
+                    return match buf.get(position..position + 2) {
+                        Some(b"\r\n") => Ok(Some(DecodedBody {
+                            body,
+                            consumed_bytes: position + 2,
+                        })),
                         Some(_) => Err(MessageError::Malformed),
                         None => Ok(None),
                     };
@@ -102,11 +107,11 @@
                 if size > max as u64 || body.len() + size as usize > max {
                     return Err(MessageError::BodyTooLarge);
                 }
-                let end = at + size as usize;
+                let end = position + size as usize;
                 match buf.get(end..end + 2) {
                     Some(b"\r\n") => {
-                        body.extend_from_slice(&buf[at..end]);
-                        at = end + 2;
+                        body.extend_from_slice(&buf[position..end]);
+                        position = end + 2;
                     }
                     Some(_) => return Err(MessageError::Malformed),
                     None => return Ok(None),
@@ -116,23 +121,26 @@
     }
 }
 
-/// Takes a body of at most `max` bytes that begins at `start` of `buf`; `None` if more bytes are needed.
-pub(super) fn take_body(
+/// Decodes a body of at most `max` bytes that begins at `start` in `buf`; returns `None` if more bytes are needed.
+/// For [`Framing::UntilClose`] that is always so: the caller takes the rest of `buf` once the connection has ended.
+pub(super) fn decode_body(
     buf: &[u8],
     start: usize,
     framing: Framing,
     max: usize,
-) -> Result<Option<TakenBody>, MessageError> {
+) -> Result<Option<DecodedBody>, MessageError> {
     match framing {
-        Framing::Length(n) if n > max => Err(MessageError::BodyTooLarge),
-        Framing::Length(n) => Ok(buf.get(start..start + n).map(|body| TakenBody {
+        Framing::Length(length) if length > max => Err(MessageError::BodyTooLarge),
+        Framing::Length(length) => Ok(buf.get(start..start + length).map(|body| DecodedBody {
             body: body.to_vec(),
-            used: start + n,
-        })),
-        Framing::Chunked => Ok(take_chunked(&buf[start..], max)?.map(|taken| TakenBody {
-            used: start + taken.used,
-            ..taken
+            consumed_bytes: start + length,
         })),
+        Framing::Chunked => Ok(
+            decode_chunked(&buf[start..], max)?.map(|decoded| DecodedBody {
+                consumed_bytes: start + decoded.consumed_bytes,
+                ..decoded
+            }),
+        ),
         Framing::UntilClose if buf.len() - start > max => Err(MessageError::BodyTooLarge),
         Framing::UntilClose => Ok(None),
     }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,4 @@
-//! HTTP server with bounds on connections and times.
+//! HTTP server with limits on connections and durations.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,9 +8,10 @@
 
 use futures_util::future::{Either, select};
 
-use super::framing::take_body;
+use super::framing::decode_body;
 use super::{
-    BODY_MAX, Fill, MessageError, READ_CHUNK, Request, Response, fill, parse_request_head,
+    BODY_BYTES_MAX, Fill, MessageError, READ_CHUNK_BYTES, Request, Response, fill,
+    parse_request_head,
 };
 use crate::runtime::{Listener, Runtime, Scope, Signal, Stream, Time};
 
@@ -20,51 +21,53 @@
 /// Limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// Connections served at once; further ones are rejected with a time to try again.
+    /// Maximum number of connections served at the same time; further ones receive 503 with `Retry-After`.
     pub connections: usize,
-    /// Time in seconds in which a whole request must arrive.
+    /// Seconds within which a whole request must arrive, and within which its response must be written.
     pub request_s: f64,
-    /// Time in seconds after which an idle connection is closed.
+    /// Seconds after which an idle connection is closed.
     pub idle_s: f64,
-    /// Time in seconds after which an idle connection may be closed in favour of a new one when all are taken.
+    /// Seconds after which an idle connection may be closed to accept a new one while all connections are in use.
     pub evictable_idle_s: f64,
 }
 
-/// Fraction of the connections in use from which on each connection is closed after its response: more clients
-/// can be served than could all stay connected.
+/// Fraction of [`ServerLimits::connections`] that must be in use for the server to close each connection after its
+/// response. This serves more clients than can stay connected at the same time.
 const CLOSE_AFTER_RESPONSE_FRACTION: f64 = 0.95;
 
-/// Connections being rejected at once, as a fraction of those served.
+/// Maximum number of connections in the process of being rejected, as a fraction of [`ServerLimits::connections`].
 const REJECTED_FRACTION: f64 = 1.0 / 128.0;
 
-/// Seconds after which rejected clients may try again.
-const FULL_RETRY_S: u32 = 2;
+/// Seconds after which a client that was rejected for lack of connections may retry.
+const REJECTED_RETRY_S: u32 = 2;
 
-/// Longest time in seconds for a write that should not block.
+/// Time limit in seconds for a write that is expected not to block.
 const IMMEDIATE_WRITE_S: f64 = 0.01;
 
-/// Longest time in seconds for writing an error response.
+/// Time limit in seconds for writing the last response on a connection.
 const ERROR_WRITE_S: f64 = 1.0;
 
-/// Longest time in seconds for reading what a client still sends after an error response.
+/// Time limit in seconds for reading what a client still sends after the last response.
 const DRAIN_S: f64 = 0.5;
 
-/// Largest number of bytes read after an error response.
-const DRAIN_MAX: usize = 4 * BODY_MAX;
+/// Maximum number of bytes read after the last response.
+const DRAIN_BYTES_MAX: usize = 4 * BODY_BYTES_MAX;
 
-/// Pause in seconds after a connection could not be accepted.
+/// Delay in seconds before the next accept after a failed one.
 const ACCEPT_RETRY_S: f64 = 0.1;
 
 impl ServerLimits {
-    /// The connections that may be served with so many sockets for clients in all.
+    /// The value of `connections` for which served and rejected connections together need at most `sockets` sockets.
     pub fn connections_within(sockets: usize) -> usize {
         (sockets as f64 / (1.0 + REJECTED_FRACTION)) as usize
     }
 
-    fn close_after_response_from(&self) -> usize {
+    /// Number of open connections from which on each is closed after its response.
+    fn close_after_response_threshold(&self) -> usize {
         (self.connections as f64 * CLOSE_AFTER_RESPONSE_FRACTION).ceil() as usize
     }
 
+    /// Maximum number of connections in the process of being rejected.
     fn rejected_max(&self) -> usize {
         (self.connections as f64 * REJECTED_FRACTION) as usize + 1
     }
@@ -72,8 +75,8 @@
 
 /// A connection that waits for its next request.
 struct IdleConnection {
-    since: Time,
-    /// Closes the connection.
+    idle_since: Time,
+    /// Set to close the connection.
     evict: Rc<Signal>,
 }
 
@@ -82,27 +85,28 @@
     runtime: Runtime,
     limits: ServerLimits,
     handler: Handler,
-    live: Cell<usize>,
+    /// Number of open connections, including those waiting for a response of the handler.
+    open_connections: Cell<usize>,
     next_idle_id: Cell<u64>,
-    /// Idle connections, the longest idle first.
+    /// Idle connections in the order in which they became idle.
     idle: RefCell<BTreeMap<u64, IdleConnection>>,
 }
 
-/// A request that has arrived.
-struct Arrival {
+/// A request that was received completely.
+struct ReceivedRequest {
     request: Request,
     /// Whether the client asks to close the connection after the response.
     close: bool,
 }
 
 impl Server {
-    /// Closes the longest idle connection in favour of another, if it was idle for long enough; returns whether it
-    /// was.
+    /// Closes the longest idle connection to free its place for a new one, if it has been idle for at least
+    /// `evictable_idle_s`. Returns whether a connection was closed.
     fn evict_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         match idle.first_entry() {
             Some(first)
-                if self.runtime.now() - first.get().since >= self.limits.evictable_idle_s =>
+                if self.runtime.now() - first.get().idle_since >= self.limits.evictable_idle_s =>
             {
                 first.remove().evict.set();
                 true
@@ -111,12 +115,13 @@
         }
     }
 
-    /// Waits for the first bytes of a request. False if there are none in time, or the connection is evicted.
+    /// Waits for the first bytes of a request. Returns false if none arrive within `idle_s`, or if the connection is
+    /// evicted.
     async fn wait_for_request(&self, stream: &mut Stream, evict: &Rc<Signal>) -> bool {
         let id = self.next_idle_id.get();
         self.next_idle_id.set(id + 1);
         let connection = IdleConnection {
-            since: self.runtime.now(),
+            idle_since: self.runtime.now(),
             evict: evict.clone(),
         };
         self.idle.borrow_mut().insert(id, connection);
@@ -128,27 +133,28 @@
         ready
     }
 
-    async fn connection(&self, mut stream: Stream) {
+    /// Serves the requests of one connection until it is closed.
+    async fn serve_connection(&self, mut stream: Stream) {
         let limits = &self.limits;
         let evict = Rc::new(Signal::default());
         let mut buf = Vec::new();
         loop {
             if buf.is_empty() {
-                // Most connections are idle most of the time: they hold no buffer meanwhile.
+                // Frees the buffer: most connections are idle most of the time, and idle ones need none.
                 buf = Vec::new();
                 if !self.wait_for_request(&mut stream, &evict).await {
                     return;
                 }
             }
-            let arrival = self
+            let received = self
                 .runtime
                 .timeout(limits.request_s, read_request(&mut stream, &mut buf))
                 .await;
-            let arrival = match arrival {
-                Ok(Ok(Some(arrival))) => arrival,
+            let received = match received {
+                Ok(Ok(Some(received))) => received,
                 Ok(Ok(None)) => return,
-                Ok(Err(bad)) => {
-                    let response = Response::error(bad.status(), &bad.to_string());
+                Ok(Err(error)) => {
+                    let response = Response::error(error.status(), &error.to_string());
                     return Box::pin(refuse(&self.runtime, &mut stream, response)).await;
                 }
                 Err(_) => {
@@ -156,8 +162,9 @@
                     return Box::pin(refuse(&self.runtime, &mut stream, response)).await;
                 }
             };
-            let response = (self.handler)(arrival.request).await;
-            let close = arrival.close || self.live.get() >= limits.close_after_response_from();
+            let response = (self.handler)(received.request).await;
+            let close = received.close
+                || self.open_connections.get() >= limits.close_after_response_threshold();
             let response = response.encode(close);
             let sent = self
                 .runtime
@@ -170,7 +177,7 @@
     }
 }
 
-/// Serves connections until cancelled.
+/// Accepts and serves connections until the routine is cancelled.
 pub async fn serve(
     runtime: Runtime,
     mut listener: Listener,
@@ -182,28 +189,31 @@
         runtime: runtime.clone(),
         limits,
         handler,
-        live: Cell::new(0),
+        open_connections: Cell::new(0),
         next_idle_id: Cell::new(0),
         idle: RefCell::default(),
     });
-    // Further connections are rejected at once. For some there is time to read what they send first: closing might
-    // reset the connection before the client sees the response.
+    // Connections beyond the limit are rejected immediately. For up to `rejected_max` of them a routine
+    // also reads what the client sends: closing a socket with unread bytes resets the connection, possibly before the
+    // client has read the response.
     let rejected = Scope::new(&runtime);
     loop {
         match listener.accept().await {
             Ok(stream) if scope.live() < limits.connections || server.evict_idle() => {
                 let server = server.clone();
-                server.live.set(scope.live() + 1);
+                server.open_connections.set(scope.live() + 1);
                 scope.spawn(async move {
-                    server.connection(stream).await;
-                    server.live.set(server.live.get().saturating_sub(1));
+                    server.serve_connection(stream).await;
+                    server
+                        .open_connections
+                        .set(server.open_connections.get().saturating_sub(1));
                 });
             }
             Ok(stream) if rejected.live() < limits.rejected_max() => {
                 rejected.spawn(reject(runtime.clone(), stream));
             }
             Ok(mut stream) => {
-                // The send buffer of a new socket takes so little at once.
+                // The write does not block: the response fits into the empty send buffer of a new socket.
                 let response = too_many_connections().encode(true);
                 let write = stream.write_all(&response);
                 let _ = runtime.timeout(IMMEDIATE_WRITE_S, write).await;
@@ -216,28 +226,29 @@
     }
 }
 
+/// Rejects a connection that exceeds the limit.
 async fn reject(runtime: Runtime, mut stream: Stream) {
     refuse(&runtime, &mut stream, too_many_connections()).await;
 }
 
 fn too_many_connections() -> Response {
-    Response::retry_later(503, "too many connections", FULL_RETRY_S)
+    Response::retry_later(503, "too many connections", REJECTED_RETRY_S)
 }
 
-/// Sends a response after which the connection is closed.
+/// Sends the last response on a connection; the caller closes it afterwards.
 async fn refuse(runtime: &Runtime, stream: &mut Stream, response: Response) {
     let bytes = response.encode(true);
     let _ = runtime
         .timeout(ERROR_WRITE_S, stream.write_all(&bytes))
         .await;
-    // What the client still sends is read for a moment: closing would reset the connection, and the client might
-    // never see the response.
+    // Reads what the client still sends, within `DRAIN_S`: closing a socket with unread bytes resets the connection,
+    // and the client might never see the response.
     let drain = async {
-        let mut sink = [0; READ_CHUNK];
-        let mut left = DRAIN_MAX;
-        while let Ok(n @ 1..) = stream.read(&mut sink).await {
-            left = left.saturating_sub(n);
-            if left == 0 {
+        let mut discarded = [0; READ_CHUNK_BYTES];
+        let mut remaining = DRAIN_BYTES_MAX;
+        while let Ok(count @ 1..) = stream.read(&mut discarded).await {
+            remaining = remaining.saturating_sub(count);
+            if remaining == 0 {
                 return;
             }
         }
@@ -245,11 +256,11 @@
     let _ = runtime.timeout(DRAIN_S, drain).await;
 }
 
-/// Reads a request; `None` if the connection ends or fails before its end.
+/// Reads a request; returns `None` if the connection is closed or fails before the request is complete.
 async fn read_request(
     stream: &mut Stream,
     buf: &mut Vec<u8>,
-) -> Result<Option<Arrival>, MessageError> {
+) -> Result<Option<ReceivedRequest>, MessageError> {
     let head = loop {
         if let Some(head) = parse_request_head(buf)? {
             break head;
@@ -267,14 +278,14 @@
         return Ok(None);
     }
     loop {
-        if let Some(taken) = take_body(buf, head.len, head.framing, BODY_MAX)? {
-            buf.drain(..taken.used);
+        if let Some(decoded) = decode_body(buf, head.len, head.framing, BODY_BYTES_MAX)? {
+            buf.drain(..decoded.consumed_bytes);
             let request = Request {
                 method: head.method,
                 path: head.path,
-                body: taken.body,
+                body: decoded.body,
             };
-            return Ok(Some(Arrival {
+            return Ok(Some(ReceivedRequest {
                 request,
                 close: head.close,
             }));
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,7 +1,7 @@
-//! Heartbeats between controllers, as CBOR frames over links of their own.
+//! Heartbeats between controllers, sent as CBOR frames over dedicated TCP connections (links).
 //!
-//! They make failover and readiness checks faster; no safety rests on them. [`frames`] encodes and decodes them,
-//! [`links`] holds the connections, and [`Peers`] keeps what the other controllers reported.
+//! Heartbeats make failover and readiness checks faster; safety does not depend on them. [`frames`] encodes and
+//! decodes them, [`links`] sends and receives them, and [`Peers`] keeps what the other controllers reported.
 
 mod directory;
 mod frames;
@@ -17,45 +17,47 @@
 pub use directory::Peers;
 pub use links::{HeartbeatReceiver, LINKS_PER_PEER, send_heartbeats};
 
-/// Most workers reported in one heartbeat; a whole large fleet would exceed the limit of a frame.
+/// Maximum number of workers reported in one heartbeat. All workers of a large fleet would exceed the maximum frame
+/// size.
 pub const WORKERS_PER_HEARTBEAT: usize = 256;
 
-/// The amounts that a controller lacks of teams' quotas, by team.
+/// By team, the amount of the team's quota that a controller lacks for its admissions.
 pub type Shortages = Vec<(Rc<str>, QuotaAmount)>;
 
 /// A heartbeat from one controller to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
-    /// The name of the sending controller's host.
+    /// Host name of the controller that sent the heartbeat.
     #[serde(rename = "host")]
     pub host: String,
-    /// Seconds since the state service last answered the sender, if it ever did.
+    /// Seconds since the state service last answered the sender; `None` if it never did.
     #[serde(rename = "state_s")]
     pub store_contact_age_s: Option<f64>,
-    /// Some of the workers that sent the sender heartbeats lately, one page a heartbeat: a new leader contacts them.
+    /// Workers that recently sent heartbeats to the sender, at most [`WORKERS_PER_HEARTBEAT`] at a time: successive
+    /// heartbeats report different ones. A new leader contacts them.
     #[serde(rename = "workers")]
     pub workers: Vec<WorkerLocation>,
-    /// Run times by class of jobs, as the sender measured them.
+    /// By class of jobs, the mean run time as the sender measured it.
     #[serde(rename = "runs", default)]
     pub run_times: Vec<(String, DecayingMean)>,
-    /// What the sender lately lacked of teams' quotas.
+    /// The recent quota shortages of the sender.
     #[serde(rename = "shortages", default, skip_serializing_if = "Vec::is_empty")]
     pub shortages: Shortages,
 }
 
-/// Where a worker is, as a controller last learned from its heartbeat.
+/// Location of a worker, according to its last heartbeat to the reporting controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerLocation {
-    /// The name of the worker's machine.
+    /// Name of the worker's machine.
     #[serde(rename = "machine")]
     pub machine: String,
-    /// The zone of the machine.
+    /// Zone of the machine.
     #[serde(rename = "zone")]
     pub zone: String,
-    /// The address at which the worker takes direct commands.
+    /// Address at which the worker accepts direct commands.
     #[serde(rename = "addr")]
     pub addr: String,
-    /// The worker's agent epoch.
+    /// Agent epoch of the worker when it sent the heartbeat.
     #[serde(rename = "session")]
     pub agent_epoch: u64,
 }
--- a/src/peers/directory.rs
+++ b/src/peers/directory.rs
@@ -1,4 +1,4 @@
-//! What the other controllers reported in their heartbeats.
+//! Directory of the other controllers and of what they reported in their heartbeats.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -7,45 +7,46 @@
 use super::{PeerHeartbeat, Shortages, WorkerLocation};
 use crate::runtime::Time;
 
-/// Most workers remembered from others' heartbeats.
-const WORKERS_MAX: usize = 16 * 1024;
+/// Number of workers reported by other controllers above which the directory discards all of them before it records
+/// more. This bounds its memory; the following heartbeats report the workers again.
+const REPORTED_WORKERS_MAX: usize = 16 * 1024;
 
-/// The last heartbeat of a controller.
+/// The last contact with another controller.
 struct PeerContact {
-    /// When the heartbeat came.
+    /// When its last heartbeat was received.
     received_at: Time,
-    /// Seconds between the state service's last answer to that controller and the heartbeat.
+    /// [`PeerHeartbeat::store_contact_age_s`] of that heartbeat.
     store_contact_age_s: Option<f64>,
 }
 
-/// A worker that another controller reported.
+/// A worker reported by another controller.
 struct ReportedWorker {
-    /// When the heartbeat that reported it came.
+    /// When the last heartbeat that reported the worker was received.
     reported_at: Time,
-    /// Where the worker is.
     location: WorkerLocation,
 }
 
-/// What is known of the other controllers, and from them.
+/// Directory of the other controllers, filled from their heartbeats.
 #[derive(Default)]
 pub struct Peers {
-    /// By host.
+    /// Last contact, by host name of the controller.
     contacts: RefCell<HashMap<String, PeerContact>>,
-    /// By machine.
+    /// Reported workers, by machine name.
     workers: RefCell<HashMap<String, ReportedWorker>>,
-    /// By host.
+    /// Latest quota shortages not yet taken by [`Peers::take_shortages`], by host name of the controller.
     shortages: RefCell<HashMap<Rc<str>, Shortages>>,
 }
 
 impl Peers {
-    /// Whether another controller was served by the state service within the last `within_s` seconds.
+    /// Whether the state service answered any other controller within the last `within_s` seconds, according to a
+    /// heartbeat received within that time.
     pub fn any_has_store(&self, now: Time, within_s: f64) -> bool {
         self.contacts.borrow().values().any(|contact| {
             let age_s = now - contact.received_at;
             age_s < within_s
                 && contact
                     .store_contact_age_s
-                    .is_some_and(|s| s + age_s < within_s)
+                    .is_some_and(|contact_age_s| contact_age_s + age_s < within_s)
         })
     }
 
@@ -63,19 +64,21 @@
             .is_some_and(|c| now - c.received_at < within_s)
     }
 
-    /// Workers that other controllers reported within the last `within_s` seconds; older ones are forgotten.
+    /// Returns the workers that other controllers reported within the last `within_s` seconds, and removes the others
+    /// from the directory.
     pub fn workers(&self, now: Time, within_s: f64) -> Vec<WorkerLocation> {
         let mut workers = self.workers.borrow_mut();
         workers.retain(|_, worker| now - worker.reported_at < within_s);
         workers.values().map(|w| w.location.clone()).collect()
     }
 
-    /// The shortages that other controllers reported since the last call, by host.
+    /// Returns the last quota shortages that each controller reported since the previous call, by host name, and clears
+    /// them.
     pub fn take_shortages(&self) -> HashMap<Rc<str>, Shortages> {
         self.shortages.take()
     }
 
-    /// Takes in a heartbeat received at `now`.
+    /// Records the contents of a heartbeat received at `now`.
     pub(super) fn record(&self, heartbeat: PeerHeartbeat, now: Time) {
         if !heartbeat.shortages.is_empty() {
             let host = heartbeat.host.as_str().into();
@@ -90,10 +93,10 @@
         self.record_workers(heartbeat.workers, now);
     }
 
-    /// Remembers the workers that a heartbeat reports.
+    /// Records the workers reported by a heartbeat.
     fn record_workers(&self, locations: Vec<WorkerLocation>, now: Time) {
         let mut workers = self.workers.borrow_mut();
-        if workers.len() > WORKERS_MAX {
+        if workers.len() > REPORTED_WORKERS_MAX {
             workers.clear();
         }
         for location in locations {
--- a/src/peers/frames.rs
+++ b/src/peers/frames.rs
@@ -1,44 +1,44 @@
-//! Frames of the links between controllers: a length of four bytes, big-endian, then a heartbeat in CBOR.
+//! Frame format of the links between controllers: a big-endian length field of four bytes, then a heartbeat in CBOR.
 
 use std::io;
 
 use super::PeerHeartbeat;
 use crate::runtime::Stream;
 
-/// Largest frame accepted, in bytes.
+/// Maximum size of a heartbeat accepted from a link, in bytes, without the length field.
 const FRAME_BYTES_MAX: usize = 64 * 1024;
-/// Bytes of a frame's length field.
+/// Size of a frame's length field, in bytes.
 const LENGTH_BYTES: usize = 4;
 
 /// Why a heartbeat could not be encoded.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum EncodeError {
-    /// The heartbeat has no CBOR form.
-    #[error("heartbeat not encodable: {0}")]
+    /// CBOR serialization failed.
+    #[error("the heartbeat cannot be encoded as CBOR: {0}")]
     Cbor(#[from] ciborium::ser::Error<io::Error>),
-    /// The length does not fit into the frame's length field.
-    #[error("heartbeat of {0} bytes exceeds a frame's length field")]
+    /// The size of the heartbeat in bytes does not fit into the length field.
+    #[error("the heartbeat has {0} bytes, too many for the length field of a frame")]
     Length(usize),
 }
 
-/// Why no heartbeat was received from a link.
+/// Why receiving a heartbeat from a link failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReceiveError {
     /// The peer closed the link.
-    #[error("link closed by the peer")]
+    #[error("the peer closed the link")]
     Closed,
-    /// Reading failed.
-    #[error("reading from the link: {0}")]
+    /// Reading from the connection failed.
+    #[error("reading from the link failed: {0}")]
     Read(#[from] io::Error),
-    /// The frame exceeds the limit.
-    #[error("frame of {0} bytes, more than {FRAME_BYTES_MAX}")]
+    /// The length field, which is the value, exceeds [`FRAME_BYTES_MAX`].
+    #[error("the frame has {0} bytes, more than the limit of {FRAME_BYTES_MAX}")]
     FrameTooLarge(usize),
-    /// The frame holds no heartbeat.
+    /// The content of the frame is not a heartbeat in CBOR.
     #[error("malformed heartbeat: {0}")]
     Cbor(#[from] ciborium::de::Error<io::Error>),
 }
 
-/// A heartbeat as a frame.
+/// Encodes a heartbeat as a frame, including the length field.
 pub(super) fn encode(heartbeat: &PeerHeartbeat) -> Result<Vec<u8>, EncodeError> {
     let mut frame = vec![0; LENGTH_BYTES];
     ciborium::into_writer(heartbeat, &mut frame)?;
@@ -48,7 +48,7 @@
     Ok(frame)
 }
 
-/// Reads the next heartbeat.
+/// Reads one frame from the link and decodes its heartbeat.
 pub(super) async fn receive(stream: &mut Stream) -> Result<PeerHeartbeat, ReceiveError> {
     let mut length = [0; LENGTH_BYTES];
     read_exact(stream, &mut length).await?;
@@ -61,7 +61,7 @@
     Ok(ciborium::from_reader(body.as_slice())?)
 }
 
-/// Fills the buffer.
+/// Reads from the link until `buffer` is full.
 async fn read_exact(stream: &mut Stream, mut buffer: &mut [u8]) -> Result<(), ReceiveError> {
     while !buffer.is_empty() {
         let count = stream.read(buffer).await?;
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -1,4 +1,5 @@
-//! The connections over which controllers send one another heartbeats: each controller opens one to every other.
+//! Links: the connections over which controllers send one another heartbeats. Each controller opens one to every other
+//! controller and sends its own heartbeats over it.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,34 +10,35 @@
 use crate::config::Peer;
 use crate::runtime::{Listener, Runtime, Scope, Stream};
 
-/// Most links from others at once, per known controller.
+/// Maximum number of incoming links at the same time, per configured peer.
 pub const LINKS_PER_PEER: usize = 4;
-/// A link that brings nothing, or takes nothing, for so many heartbeat intervals is closed.
+/// Time limit, in heartbeat intervals, for opening a link, for sending one heartbeat and for receiving the next one.
+/// A link that exceeds it is closed.
 const LINK_TIMEOUT_INTERVALS: f64 = 5.0;
 
-/// Makes the heartbeat to be sent at this moment.
+/// Creates the heartbeat to send now.
 pub type PeerHeartbeatSource = Box<dyn Fn() -> PeerHeartbeat>;
 
 /// Receives heartbeats from the other controllers.
 #[derive(Clone)]
 pub struct HeartbeatReceiver {
-    /// For the clock and time limits.
+    /// Runtime of this controller.
     pub runtime: Runtime,
-    /// Interval at which the others send heartbeats, in seconds.
+    /// Interval in seconds at which the other controllers send heartbeats.
     pub interval_s: f64,
-    /// Takes the contents of heartbeats.
+    /// Directory in which received heartbeats are recorded.
     pub peers: Rc<Peers>,
-    /// Takes the run times by class of jobs.
+    /// Forecast that learns from the run times in received heartbeats.
     pub forecast: Rc<RefCell<ArrivalForecast>>,
 }
 
 impl HeartbeatReceiver {
-    /// Accepts links from the other controllers, `known` in number, and takes in their heartbeats.
-    pub async fn serve(self, mut listener: Listener, known: usize) {
+    /// Accepts links from the other controllers, of which there are `peer_count`, and records their heartbeats.
+    pub async fn serve(self, mut listener: Listener, peer_count: usize) {
         let links = Scope::new(&self.runtime);
         loop {
             match listener.accept().await {
-                Ok(stream) if links.live() < known * LINKS_PER_PEER => {
+                Ok(stream) if links.live() < peer_count * LINKS_PER_PEER => {
                     links.spawn(self.clone().receive_from(stream));
                 }
                 Ok(_) => {}
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Takes in the heartbeats of one link until it fails or stays silent for too long.
+    /// Records the heartbeats received over one link until the link fails or times out.
     async fn receive_from(self, mut stream: Stream) {
         let timeout_s = self.interval_s * LINK_TIMEOUT_INTERVALS;
         let mut host = None;
@@ -72,7 +74,7 @@
     }
 }
 
-/// Sends heartbeats to another controller, connecting again whenever the link fails.
+/// Sends a heartbeat to another controller every `interval_s` seconds, and reconnects when the link fails.
 pub async fn send_heartbeats(
     runtime: Runtime,
     peer: Peer,
@@ -101,7 +103,7 @@
         let frame = match encode(&source()) {
             Ok(frame) => frame,
             Err(error) => {
-                tracing::debug!(node = %peer.name, %error, "heartbeat to a controller not sent");
+                tracing::debug!(node = %peer.name, %error, "encoding a heartbeat failed");
                 return;
             }
         };
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 #[test]
-fn greetings_survive_the_wire_and_grow_old() {
+fn heartbeats_survive_encoding_and_their_reports_expire() {
     let peer_heartbeat = PeerHeartbeat {
         host: "n1".into(),
         store_contact_age_s: Some(0.5),
@@ -18,8 +18,8 @@
         shortages: Vec::new(),
     };
     let frame = encode(&peer_heartbeat).unwrap();
-    let back: PeerHeartbeat = ciborium::from_reader(&frame[4..]).unwrap();
-    assert_eq!(back, peer_heartbeat);
+    let decoded: PeerHeartbeat = ciborium::from_reader(&frame[4..]).unwrap();
+    assert_eq!(decoded, peer_heartbeat);
     let peers = Peers::default();
     peers.record(peer_heartbeat, 10.0);
     assert!(peers.any_has_store(11.0, 3.0));
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -1,7 +1,8 @@
-//! Runtime around the calloop event loop: routines of one thread, timers, cancellation, sockets.
+//! Single-threaded asynchronous runtime on the calloop event loop: routines, timers, cancellation and sockets.
 //!
-//! A routine is a future without a result, started in a [`Scope`]. The loop polls routines that were woken, waits
-//! for sockets until the next timer is due, and fires timers.
+//! A routine is a future without a result that is started in a [`Scope`]; other runtimes call it a task, which here is
+//! a part of a job. Each iteration of the event loop polls the routines that were woken, waits for sockets until the
+//! next timer is due, and fires the due timers.
 
 mod clock;
 #[cfg(test)]
@@ -29,23 +30,25 @@
 use timers::Timers;
 pub use token_bucket::TokenBucket;
 
+/// State shared by all handles to the runtime.
 struct Inner {
     handle: LoopHandle<'static, ()>,
     scheduler: Scheduler<()>,
     clock: Box<dyn Clock>,
-    /// Connections in memory in place of sockets.
+    /// If set, connections are made in memory instead of over sockets.
     #[cfg(test)]
     network: Option<in_memory_network::Network>,
     timers: RefCell<Timers>,
     is_stopped: Cell<bool>,
+    /// The default value, of length 0, before the first pause.
     last_pause: Cell<ProcessPause>,
 }
 
-/// Handle to the runtime, cheap to clone.
+/// Handle to the runtime. Clones are cheap and refer to the same event loop.
 #[derive(Clone)]
 pub struct Runtime(Rc<Inner>);
 
-/// An event loop that polls the routines of a scheduler.
+/// Creates an event loop and the scheduler that starts routines on it.
 fn event_loop() -> Result<(EventLoop<'static, ()>, Scheduler<()>), calloop::Error> {
     let event_loop: EventLoop<'static, ()> = EventLoop::try_new()?;
     let (source, scheduler) = executor::<()>()?;
@@ -57,8 +60,8 @@
 }
 
 impl Runtime {
-    /// Creates the event loop, has `setup` start the first routines, and runs until [`Runtime::stop`] or an error
-    /// of the event loop itself.
+    /// Creates the event loop, calls `setup` to start the first routines, and runs until [`Runtime::stop`] is called.
+    /// Returns an error if `setup` or the event loop itself fails. The scope returned by `setup` is dropped at the end.
     pub fn run<E: From<calloop::Error>>(
         setup: impl FnOnce(&Runtime) -> Result<Scope, E>,
     ) -> Result<(), E> {
@@ -75,38 +78,39 @@
         }));
         let _root = setup(&runtime)?;
         while !runtime.0.is_stopped.get() {
-            let wait = runtime.until_next_timer();
-            let before = runtime.now();
-            event_loop.dispatch(wait, &mut ())?;
-            runtime.detect_pause(before, wait);
+            let max_wait = runtime.until_next_timer();
+            let started_at = runtime.now();
+            event_loop.dispatch(max_wait, &mut ())?;
+            runtime.detect_pause(started_at, max_wait);
             runtime.fire_timers();
         }
         Ok(())
     }
 
-    /// Ends the event loop, and with it all routines, after the present turn.
+    /// Ends the event loop after its current iteration, and with it all routines.
     pub fn stop(&self) {
         self.0.is_stopped.set(true);
     }
 
-    fn detect_pause(&self, before: Time, wait: Option<Duration>) {
-        if let Some(pause) = ProcessPause::detect(before, self.now(), wait) {
+    /// Records a process pause if the iteration that started at `started_at` took much longer than `max_wait`.
+    fn detect_pause(&self, started_at: Time, max_wait: Option<Duration>) {
+        if let Some(pause) = ProcessPause::detect(started_at, self.now(), max_wait) {
             tracing::info!(pause_s = pause.length_s, "process was paused");
             self.0.last_pause.set(pause);
         }
     }
 
-    /// The last pause of this process; one of length 0 at time 0 if there was none.
+    /// The last pause of this process; a pause of length 0 at time 0 if there was none.
     pub fn pause(&self) -> ProcessPause {
         self.0.last_pause.get()
     }
 
-    /// The present time on the steady clock.
+    /// The current time on the monotonic clock.
     pub fn now(&self) -> Time {
         self.0.clock.now()
     }
 
-    /// The time of day in milliseconds since the Unix epoch, by this machine's clock.
+    /// The wall-clock time of this host, in milliseconds since the Unix epoch.
     pub fn unix_ms(&self) -> u64 {
         self.0.clock.unix_ms()
     }
@@ -114,9 +118,9 @@
     fn spawn(&self, work: impl Future<Output = ()> + 'static) {
         #[cfg(test)]
         let work = in_memory_network::count_polls(self, work);
-        // The scheduler outlives every routine: it ends with the loop that polls them.
+        // Scheduling fails only after the event loop was dropped, and no routine runs then to call this method.
         if let Err(error) = self.0.scheduler.schedule(work) {
-            tracing::error!(%error, "routine could not be started");
+            tracing::error!(%error, "starting a routine failed");
         }
     }
 }
--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -1,24 +1,24 @@
-//! Clocks, and pauses of the whole process.
+//! Clocks, and detection of process pauses.
 
 use std::time::{Duration, Instant, SystemTime};
 
-/// Seconds on the steady clock, counted from the start of the process.
+/// Seconds on the monotonic clock since the start of the runtime.
 pub type Time = f64;
 
-/// Source of the present time; tests use one of their own.
+/// Source of the current time. Tests replace the system clock by one that they control.
 pub trait Clock {
-    /// The present time on the steady clock.
+    /// The current time on the monotonic clock.
     fn now(&self) -> Time;
 
-    /// The time of day, in milliseconds since the Unix epoch.
+    /// The wall-clock time, in milliseconds since the Unix epoch.
     fn unix_ms(&self) -> u64;
 }
 
-/// The clocks of the operating system.
+/// The monotonic and wall clocks of the operating system; the value is the instant at which [`Time`] is 0.
 pub struct SystemClock(Instant);
 
 impl SystemClock {
-    /// A clock whose steady time begins now.
+    /// Creates a clock whose monotonic time starts at 0 now.
     pub fn start() -> Self {
         SystemClock(Instant::now())
     }
@@ -35,24 +35,29 @@
     }
 }
 
-/// How much later than asked for, in seconds, the event loop has to come back to count as paused.
+/// Minimum time in seconds by which an iteration of the event loop must exceed its maximum wait to count as a process
+/// pause.
 const PAUSE_MIN_S: f64 = 0.7;
 
-/// A time in which this process did not run at all, as if the machine was suspended.
+/// A period in which this process apparently did not run, for example because its machine was suspended.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ProcessPause {
-    /// When it ended, on the steady clock.
+    /// End of the pause, on the monotonic clock.
     pub until: Time,
-    /// How long it lasted, in seconds.
+    /// Length of the pause, in seconds.
     pub length_s: f64,
 }
 
 impl ProcessPause {
-    /// The pause in a turn of the event loop that was to wait for at most `wait`, if it took far longer. A turn
-    /// without a limit may take any time.
-    pub(super) fn detect(before: Time, now: Time, wait: Option<Duration>) -> Option<ProcessPause> {
-        let length_s = now - before;
-        let is_pause = wait.is_some_and(|wait| length_s > wait.as_secs_f64() + PAUSE_MIN_S);
+    /// Returns the pause during an iteration of the event loop that started at `started_at` and exceeded its maximum
+    /// wait by more than [`PAUSE_MIN_S`]. An iteration without a maximum wait is never a pause.
+    pub(super) fn detect(
+        started_at: Time,
+        now: Time,
+        max_wait: Option<Duration>,
+    ) -> Option<ProcessPause> {
+        let length_s = now - started_at;
+        let is_pause = max_wait.is_some_and(|wait| length_s > wait.as_secs_f64() + PAUSE_MIN_S);
         is_pause.then_some(ProcessPause {
             until: now,
             length_s,
--- a/src/runtime/scope.rs
+++ b/src/runtime/scope.rs
@@ -1,4 +1,4 @@
-//! Ownership of routines: a routine never outlives the scope that it was started in.
+//! Scopes own routines: a routine is cancelled at the latest when the scope in which it was started is dropped.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -8,20 +8,23 @@
 
 use super::{Runtime, Signal};
 
-/// Owner of routines. Dropping it cancels them, and with each of them the scopes that it owns itself.
+/// Owner of routines. Dropping a scope cancels its routines. A cancelled routine is dropped together with the scopes
+/// that it owns, which cancels their routines in turn.
 pub struct Scope {
     runtime: Runtime,
     shared: Rc<ScopeState>,
 }
 
+/// State that a scope shares with its routines, which outlive the scope by the time it takes to cancel them.
 #[derive(Default)]
 struct ScopeState {
     cancel: Signal,
+    /// Number of routines that have not ended.
     live: Cell<usize>,
 }
 
 impl Scope {
-    /// A scope without routines.
+    /// Creates a scope without routines.
     pub fn new(runtime: &Runtime) -> Self {
         Scope {
             runtime: runtime.clone(),
@@ -29,7 +32,7 @@
         }
     }
 
-    /// Starts a routine that ends with this scope at the latest.
+    /// Starts a routine, which is cancelled when this scope is dropped.
     pub fn spawn(&self, work: impl Future<Output = ()> + 'static) {
         let shared = self.shared.clone();
         shared.live.set(shared.live.get() + 1);
@@ -43,7 +46,7 @@
         });
     }
 
-    /// Number of routines that have not ended.
+    /// Number of routines of this scope that have not ended.
     pub fn live(&self) -> usize {
         self.shared.live.get()
     }
--- a/src/runtime/sockets.rs
+++ b/src/runtime/sockets.rs
@@ -1,4 +1,4 @@
-//! TCP connections and listeners of the event loop; in tests connections in memory take their place.
+//! TCP connections and listeners on the event loop. Tests can replace them by in-memory connections.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,7 +10,7 @@
 #[cfg(test)]
 use super::in_memory_network;
 
-/// Error code of Linux for a connection that is being opened (`errno`).
+/// The Linux `errno` value which says that a non-blocking socket is still connecting.
 const EINPROGRESS: i32 = 115;
 
 impl Runtime {
@@ -18,18 +18,22 @@
         self.0.handle.adapt_io(socket).map_err(io::Error::other)
     }
 
-    /// Opens a connection.
-    pub async fn connect(&self, to: SocketAddr) -> io::Result<Stream> {
+    /// Opens a connection to `address`. Sets no time limit: see [`Runtime::timeout`].
+    pub async fn connect(&self, address: SocketAddr) -> io::Result<Stream> {
         #[cfg(test)]
         if let Some(network) = &self.0.network {
-            self.sleep(network.delay_s(to)).await;
+            self.sleep(network.delay_s(address)).await;
             return network
-                .connect(to)
-                .map(|end| Stream(Connection::InMemory(end)));
+                .connect(address)
+                .map(|endpoint| Stream(Connection::InMemory(endpoint)));
         }
-        let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
+        let socket = Socket::new(
+            Domain::for_address(address),
+            Type::STREAM,
+            Some(Protocol::TCP),
+        )?;
         socket.set_nonblocking(true)?;
-        match socket.connect(&to.into()) {
+        match socket.connect(&address.into()) {
             Ok(()) => {}
             Err(e) if e.raw_os_error() == Some(EINPROGRESS) => {}
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -40,24 +44,24 @@
         if let Some(e) = io.get_mut().take_error()? {
             return Err(e);
         }
-        // A socket that is writable without being connected was refused.
+        // A refused connection also makes the socket writable; `peer_addr` then fails.
         io.get_mut().peer_addr()?;
         io.get_mut().set_nodelay(true)?;
         Ok(Stream(Connection::Tcp(io)))
     }
 
-    /// Listens at an address.
-    pub fn listen(&self, at: SocketAddr) -> io::Result<Listener> {
+    /// Opens a listener at `address`; port 0 selects a free port.
+    pub fn listen(&self, address: SocketAddr) -> io::Result<Listener> {
         #[cfg(test)]
         if let Some(network) = &self.0.network {
-            return Ok(Listener(Backlog::InMemory(network.listen(at)?)));
+            return Ok(Listener(ListenerKind::InMemory(network.listen(address)?)));
         }
-        let io = self.register(TcpListener::bind(at)?)?;
-        Ok(Listener(Backlog::Tcp(io, self.clone())))
+        let io = self.register(TcpListener::bind(address)?)?;
+        Ok(Listener(ListenerKind::Tcp(io, self.clone())))
     }
 }
 
-/// A connection.
+/// An open connection, over TCP or in memory. Dropping it closes the connection.
 pub struct Stream(Connection);
 
 enum Connection {
@@ -67,38 +71,38 @@
 }
 
 impl Stream {
-    /// Reads some bytes; 0 at the end of the stream.
+    /// Waits for bytes and reads them into `buf`; returns their number, or 0 at the end of the stream.
     pub async fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
         match &mut self.0 {
             Connection::Tcp(io) => loop {
                 match io.get_mut().read(buf) {
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => io.readable().await,
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                    done => return done,
+                    result => return result,
                 }
             },
             #[cfg(test)]
-            Connection::InMemory(end) => Ok(end.read(buf).await),
+            Connection::InMemory(endpoint) => Ok(endpoint.read(buf).await),
         }
     }
 
-    /// Waits for bytes to read, or the end of the stream.
+    /// Waits until there are bytes to read or the stream has ended.
     pub async fn readable(&mut self) {
         match &mut self.0 {
             Connection::Tcp(io) => io.readable().await,
             #[cfg(test)]
-            Connection::InMemory(end) => end.readable().await,
+            Connection::InMemory(endpoint) => endpoint.readable().await,
         }
     }
 
-    /// Writes all bytes.
+    /// Writes all of `bytes`.
     pub async fn write_all(&mut self, mut bytes: &[u8]) -> io::Result<()> {
         match &mut self.0 {
             Connection::Tcp(io) => {
                 while !bytes.is_empty() {
                     match io.get_mut().write(bytes) {
                         Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                        Ok(n) => bytes = &bytes[n..],
+                        Ok(count) => bytes = &bytes[count..],
                         Err(e) if e.kind() == io::ErrorKind::WouldBlock => io.writable().await,
                         Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                         Err(e) => return Err(e),
@@ -107,11 +111,11 @@
                 Ok(())
             }
             #[cfg(test)]
-            Connection::InMemory(end) => end.write(bytes),
+            Connection::InMemory(endpoint) => endpoint.write(bytes),
         }
     }
 
-    /// Whether an idle connection can be used again: it is open, and there is nothing unexpected to read.
+    /// Whether an idle connection can be reused: the peer has not closed it, and there are no unexpected bytes to read.
     pub fn is_reusable(&mut self) -> bool {
         match &mut self.0 {
             Connection::Tcp(io) => {
@@ -119,38 +123,38 @@
                 matches!(read, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
             }
             #[cfg(test)]
-            Connection::InMemory(end) => end.is_reusable(),
+            Connection::InMemory(endpoint) => endpoint.is_reusable(),
         }
     }
 }
 
-/// A listening socket.
-pub struct Listener(Backlog);
+/// A listener for connections, over TCP or in memory.
+pub struct Listener(ListenerKind);
 
-enum Backlog {
+enum ListenerKind {
     Tcp(Async<'static, TcpListener>, Runtime),
     #[cfg(test)]
-    InMemory(in_memory_network::Backlog),
+    InMemory(in_memory_network::InMemoryListener),
 }
 
 impl Listener {
-    /// The address at which it listens.
+    /// The address of the listener, with the port that was selected for port 0.
     #[cfg(test)]
     pub fn addr(&mut self) -> io::Result<SocketAddr> {
         match &mut self.0 {
-            Backlog::Tcp(io, _) => io.get_mut().local_addr(),
+            ListenerKind::Tcp(io, _) => io.get_mut().local_addr(),
             #[cfg(test)]
-            Backlog::InMemory(backlog) => Ok(backlog.addr),
+            ListenerKind::InMemory(listener) => Ok(listener.addr),
         }
     }
 
-    /// The next connection.
+    /// Waits for the next connection and accepts it.
     pub async fn accept(&mut self) -> io::Result<Stream> {
         let (io, runtime) = match &mut self.0 {
-            Backlog::Tcp(io, runtime) => (io, runtime),
+            ListenerKind::Tcp(io, runtime) => (io, runtime),
             #[cfg(test)]
-            Backlog::InMemory(backlog) => {
-                return Ok(Stream(Connection::InMemory(backlog.accept().await)));
+            ListenerKind::InMemory(listener) => {
+                return Ok(Stream(Connection::InMemory(listener.accept().await)));
             }
         };
         loop {
--- a/src/runtime/sync.rs
+++ b/src/runtime/sync.rs
@@ -1,4 +1,4 @@
-//! Synchronization between routines of one thread.
+//! Synchronization between the routines of a runtime, all on one thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
 
-/// Wakers of the routines that wait, in the order in which they began to.
+/// Wakers of the waiting routines, ordered by the creation of their wait futures.
 #[derive(Default)]
 struct Waiters {
     next_id: Cell<u64>,
@@ -34,7 +34,7 @@
     }
 }
 
-/// A flag that routines can wait for. It stays set until it is cleared.
+/// A flag that routines can wait for. The flag stays set until it is cleared.
 #[derive(Default)]
 pub struct Signal {
     is_set: Cell<bool>,
@@ -68,7 +68,7 @@
     }
 }
 
-/// A wait for a signal.
+/// Future of [`Signal::wait`].
 pub struct SignalWait<'a> {
     signal: &'a Signal,
     id: u64,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Notifies all routines that wait at that moment. Unlike [`Signal`] it has no state that lasts.
+/// Notifies all routines that are waiting at the time. Unlike [`Signal`], later waits do not see the notification.
 #[derive(Default)]
 pub struct Notify {
     /// Number of notifications so far.
@@ -106,7 +106,7 @@
         self.waiters.wake_all();
     }
 
-    /// Waits for the next notification after this call, also if it comes before the wait is polled.
+    /// Waits for the next notification after this call, even if it is sent before the returned future is first polled.
     pub fn notified(&self) -> Notified<'_> {
         Notified {
             notify: self,
@@ -116,9 +116,10 @@
     }
 }
 
-/// A wait for a notification.
+/// Future of [`Notify::notified`].
 pub struct Notified<'a> {
     notify: &'a Notify,
+    /// Number of notifications when the wait was created.
     count_before: u64,
     id: u64,
 }
--- a/src/runtime/tests.rs
+++ b/src/runtime/tests.rs
@@ -1,26 +1,27 @@
-//! Tests of `runtime`.
+//! Tests of process pauses and scopes.
 
 use super::*;
 
-/// Records when it is dropped.
-struct Guard(Rc<Log>, &'static str);
+/// Adds its name to the log when it is dropped.
+struct DropGuard(Rc<DropLog>, &'static str);
 
 #[derive(Default)]
-struct Log {
-    ended: RefCell<Vec<&'static str>>,
-    more: Signal,
+struct DropLog {
+    names: RefCell<Vec<&'static str>>,
+    /// Set when a name is added.
+    name_added: Signal,
 }
 
-impl Drop for Guard {
+impl Drop for DropGuard {
     fn drop(&mut self) {
-        self.0.ended.borrow_mut().push(self.1);
-        self.0.more.set();
+        self.0.names.borrow_mut().push(self.1);
+        self.0.name_added.set();
     }
 }
 
 #[test]
-fn a_turn_far_longer_than_the_wait_is_a_pause_and_a_long_wait_is_none() {
-    let wait = |s| Some(Duration::from_secs_f64(s));
+fn only_an_iteration_far_longer_than_its_maximum_wait_is_a_process_pause() {
+    let wait = |seconds| Some(Duration::from_secs_f64(seconds));
     assert_eq!(ProcessPause::detect(10.0, 15.2, wait(5.0)), None);
     assert_eq!(ProcessPause::detect(10.0, 50.0, None), None);
     let pause = ProcessPause::detect(10.0, 15.2, wait(0.2)).unwrap();
@@ -29,19 +30,20 @@
 }
 
 #[test]
-fn a_scope_that_ends_takes_its_routines_and_theirs_along() {
-    let ended: Rc<Log> = Rc::default();
-    let seen = ended.clone();
+fn dropping_a_scope_cancels_its_routines_and_the_scopes_they_own() {
+    let log: Rc<DropLog> = Rc::default();
+    let log_after_run = log.clone();
     Runtime::run::<calloop::Error>(move |runtime| {
         let (runtime, root) = (runtime.clone(), Scope::new(runtime));
         let parent = Scope::new(&runtime);
         let started = Rc::new(Signal::default());
-        let (inner_runtime, inner_started, log) = (runtime.clone(), started.clone(), ended.clone());
+        let (inner_runtime, inner_started, inner_log) =
+            (runtime.clone(), started.clone(), log.clone());
         parent.spawn(async move {
-            let _guard = Guard(log.clone(), "parent");
+            let _guard = DropGuard(inner_log.clone(), "parent");
             let children = Scope::new(&inner_runtime);
             children.spawn(async move {
-                let _guard = Guard(log, "child");
+                let _guard = DropGuard(inner_log, "child");
                 inner_started.set();
                 std::future::pending::<()>().await;
             });
@@ -50,13 +52,13 @@
         root.spawn(async move {
             started.wait().await;
             drop(parent);
-            while ended.ended.borrow().len() < 2 {
-                ended.more.take().await;
+            while log.names.borrow().len() < 2 {
+                log.name_added.take().await;
             }
             runtime.stop();
         });
         Ok(root)
     })
     .unwrap();
-    assert_eq!(*seen.ended.borrow(), ["parent", "child"]);
+    assert_eq!(*log_after_run.names.borrow(), ["parent", "child"]);
 }
--- a/src/runtime/timers.rs
+++ b/src/runtime/timers.rs
@@ -1,4 +1,4 @@
-//! Timers: waits for a time, and time limits.
+//! Timers: sleeps and time limits.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -10,14 +10,15 @@
 
 use super::{Runtime, Time};
 
-/// When a timer fires, in microseconds on the steady clock; the id tells timers of the same time apart.
+/// Due time of a timer, in microseconds on the monotonic clock. The id distinguishes timers that are due at the same
+/// time, and orders them by creation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TimerKey {
-    pub at_us: u64,
+    pub due_us: u64,
     id: u64,
 }
 
-/// The timers that are waited for.
+/// The pending timers, in the order in which they are due.
 #[derive(Default)]
 pub(super) struct Timers {
     next_id: u64,
@@ -25,53 +26,53 @@
 }
 
 impl Timers {
-    /// The timer that fires first.
+    /// The timer that is due first.
     pub fn first(&self) -> Option<TimerKey> {
         self.waiting.keys().next().copied()
     }
 
-    fn new_key(&mut self, at: Time) -> TimerKey {
+    fn new_key(&mut self, due_at: Time) -> TimerKey {
         self.next_id += 1;
         TimerKey {
-            // Rounded up, so that the timer never fires before that time.
-            at_us: micros(at) + 1,
+            // Rounded up, so that the timer never fires before `due_at`.
+            due_us: to_micros(due_at) + 1,
             id: self.next_id,
         }
     }
 
-    /// Removes the first timer if it is due.
+    /// Removes the first timer if it is due, and returns the waker of its routine.
     fn pop_due(&mut self, now_us: u64) -> Option<Waker> {
         let first = self.waiting.first_entry()?;
-        (first.key().at_us <= now_us).then(|| first.remove())
+        (first.key().due_us <= now_us).then(|| first.remove())
     }
 }
 
-fn micros(at: Time) -> u64 {
-    (at.max(0.0) * 1e6) as u64
+fn to_micros(time: Time) -> u64 {
+    (time.max(0.0) * 1e6) as u64
 }
 
-/// The time limit passed first.
+/// Error of [`Runtime::timeout`]: the time limit was reached before the work completed.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
-#[error("time limit passed")]
+#[error("the time limit was reached")]
 pub struct Elapsed;
 
 impl Runtime {
-    /// Time until the first timer fires; `None` without timers.
+    /// Time until the first timer is due; `None` if there are no timers.
     pub(super) fn until_next_timer(&self) -> Option<Duration> {
         let timers = self.0.timers.borrow();
         let first = timers.first()?;
-        let now = micros(self.now());
-        // The event loop waits for whole milliseconds: rounded up, as a timer never fires early.
+        let now = to_micros(self.now());
+        // The event loop waits for whole milliseconds. The time is rounded up, so that the timer is due after the wait.
         Some(Duration::from_millis(
-            first.at_us.saturating_sub(now).div_ceil(1000),
+            first.due_us.saturating_sub(now).div_ceil(1000),
         ))
     }
 
     /// Wakes the routines whose timers are due.
     pub(super) fn fire_timers(&self) {
-        let now = micros(self.now());
+        let now = to_micros(self.now());
         loop {
-            // A woken routine may use the timers itself: they aren't borrowed while it is woken.
+            // Waking may drop or poll futures that use the timers, so the borrow ends before the call.
             let due = self.0.timers.borrow_mut().pop_due(now);
             match due {
                 Some(waker) => waker.wake(),
@@ -80,16 +81,16 @@
         }
     }
 
-    /// Waits for `seconds`.
+    /// Returns a future that completes after `seconds`; a negative value counts as 0.
     pub fn sleep(&self, seconds: f64) -> Sleep {
         Sleep {
             runtime: self.clone(),
-            at: self.now() + seconds.max(0.0),
+            due_at: self.now() + seconds.max(0.0),
             key: None,
         }
     }
 
-    /// Runs `work` for at most `seconds`; it is dropped at the limit.
+    /// Runs `work` for at most `seconds`, then drops it and returns [`Elapsed`].
     pub async fn timeout<T>(
         &self,
         seconds: f64,
@@ -103,23 +104,24 @@
     }
 }
 
-/// A wait for a time; dropping it removes the timer.
+/// Future of [`Runtime::sleep`]. Dropping it removes the timer.
 pub struct Sleep {
     runtime: Runtime,
-    at: Time,
+    due_at: Time,
+    /// Key of the timer; `None` before the first poll.
     key: Option<TimerKey>,
 }
 
 impl Future for Sleep {
     type Output = ();
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        if self.runtime.now() >= self.at {
+        if self.runtime.now() >= self.due_at {
             return Poll::Ready(());
         }
         let runtime = self.runtime.clone();
         let mut timers = runtime.0.timers.borrow_mut();
-        let at = self.at;
-        let key = *self.key.get_or_insert_with(|| timers.new_key(at));
+        let due_at = self.due_at;
+        let key = *self.key.get_or_insert_with(|| timers.new_key(due_at));
         timers.waiting.insert(key, cx.waker().clone());
         Poll::Pending
     }
