--- a/src/runtime/timers.rs
+++ b/src/runtime/timers.rs
@@ -72,7 +72,7 @@
     pub(super) fn fire_timers(&self) {
         let now = to_micros(self.now());
         loop {
-            // Waking may drop or poll futures that use the timers, so the borrow ends before the call.
+            // Waking a routine may run code that uses the timers, so they are not borrowed during the call.
             let due = self.0.timers.borrow_mut().pop_due(now);
             match due {
                 Some(waker) => waker.wake(),
