--- a/src/http.rs
+++ b/src/http.rs
@@ -123,7 +123,7 @@
 }
 
 impl MessageError {
-    /// The status code with which the server rejects such a request.
+    /// The status code with which the server rejects a request that has this error.
     fn status(self) -> u16 {
         match self {
             MessageError::Malformed => 400,
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -41,8 +41,8 @@
     for header in headers {
         if header.name.eq_ignore_ascii_case("content-length") {
             let value = content_length(header.value)?;
-            // Two different lengths indicate request smuggling: each receiver on the path would find another end of
-            // the request.
+            // Two different lengths indicate request smuggling: receivers on the path can disagree about where the
+            // message ends.
             if length.is_some_and(|previous| previous != value) {
                 return Err(MessageError::Malformed);
             }
@@ -122,7 +122,8 @@
 }
 
 /// Decodes a body of at most `max` bytes that begins at `start` in `buf`; returns `None` if more bytes are needed.
-/// For [`Framing::UntilClose`] that is always so: the caller takes the rest of `buf` once the connection has ended.
+/// A body framed as [`Framing::UntilClose`] is never decoded here, only checked against `max`: the caller takes the
+/// rest of `buf` once the connection is closed.
 pub(super) fn decode_body(
     buf: &[u8],
     start: usize,
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -32,7 +32,7 @@
 }
 
 /// Fraction of [`ServerLimits::connections`] that must be in use for the server to close each connection after its
-/// response. This serves more clients than can stay connected at the same time.
+/// response. The freed connections let the server serve more clients than can stay connected at the same time.
 const CLOSE_AFTER_RESPONSE_FRACTION: f64 = 0.95;
 
 /// Maximum number of connections in the process of being rejected, as a fraction of [`ServerLimits::connections`].
@@ -44,25 +44,26 @@
 /// Time limit in seconds for a write that is expected not to block.
 const IMMEDIATE_WRITE_S: f64 = 0.01;
 
-/// Time limit in seconds for writing the last response on a connection.
+/// Time limit in seconds for writing an error response after which the connection is closed.
 const ERROR_WRITE_S: f64 = 1.0;
 
-/// Time limit in seconds for reading what a client still sends after the last response.
+/// Time limit in seconds for reading what a client still sends after such an error response.
 const DRAIN_S: f64 = 0.5;
 
-/// Maximum number of bytes read after the last response.
+/// Maximum number of bytes read after such an error response.
 const DRAIN_BYTES_MAX: usize = 4 * BODY_BYTES_MAX;
 
 /// Delay in seconds before the next accept after a failed one.
 const ACCEPT_RETRY_S: f64 = 0.1;
 
 impl ServerLimits {
-    /// The value of `connections` for which served and rejected connections together need at most `sockets` sockets.
+    /// The value of `connections` for which served and rejected connections together need `sockets` sockets, or
+    /// one more because `rejected_max` rounds up.
     pub fn connections_within(sockets: usize) -> usize {
         (sockets as f64 / (1.0 + REJECTED_FRACTION)) as usize
     }
 
-    /// Number of open connections from which on each is closed after its response.
+    /// Minimum number of open connections at which the server closes each connection after its response.
     fn close_after_response_threshold(&self) -> usize {
         (self.connections as f64 * CLOSE_AFTER_RESPONSE_FRACTION).ceil() as usize
     }
@@ -85,7 +86,7 @@
     runtime: Runtime,
     limits: ServerLimits,
     handler: Handler,
-    /// Number of open connections, including those waiting for a response of the handler.
+    /// Number of connections being served, including idle ones; connections being rejected do not count.
     open_connections: Cell<usize>,
     next_idle_id: Cell<u64>,
     /// Idle connections in the order in which they became idle.
@@ -95,7 +96,7 @@
 /// A request that was received completely.
 struct ReceivedRequest {
     request: Request,
-    /// Whether the client asks to close the connection after the response.
+    /// Whether the server must close the connection after the response.
     close: bool,
 }
 
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Waits for the first bytes of a request. Returns false if none arrive within `idle_s`, or if the connection is
-    /// evicted.
+    /// Waits until the first bytes of a request arrive or the client closes the connection. Returns false if neither
+    /// happens within `idle_s`, or if the connection is evicted.
     async fn wait_for_request(&self, stream: &mut Stream, evict: &Rc<Signal>) -> bool {
         let id = self.next_idle_id.get();
         self.next_idle_id.set(id + 1);
@@ -193,9 +194,9 @@
         next_idle_id: Cell::new(0),
         idle: RefCell::default(),
     });
-    // Connections beyond the limit are rejected immediately. For up to `rejected_max` of them a routine
-    // also reads what the client sends: closing a socket with unread bytes resets the connection, possibly before the
-    // client has read the response.
+    // Connections beyond the limit are rejected immediately. For up to `rejected_max` connections at the same time, a
+    // routine then reads what the client sends: closing a socket with unread bytes resets the connection, possibly
+    // before the client has read the response.
     let rejected = Scope::new(&runtime);
     loop {
         match listener.accept().await {
@@ -226,7 +227,7 @@
     }
 }
 
-/// Rejects a connection that exceeds the limit.
+/// Rejects a connection that exceeds [`ServerLimits::connections`].
 async fn reject(runtime: Runtime, mut stream: Stream) {
     refuse(&runtime, &mut stream, too_many_connections()).await;
 }
@@ -235,7 +236,7 @@
     Response::retry_later(503, "too many connections", REJECTED_RETRY_S)
 }
 
-/// Sends the last response on a connection; the caller closes it afterwards.
+/// Sends an error response and discards what the client still sends. The caller then closes the connection.
 async fn refuse(runtime: &Runtime, stream: &mut Stream, response: Response) {
     let bytes = response.encode(true);
     let _ = runtime
--- a/src/peers/frames.rs
+++ b/src/peers/frames.rs
@@ -30,7 +30,7 @@
     /// Reading from the connection failed.
     #[error("reading from the link failed: {0}")]
     Read(#[from] io::Error),
-    /// The length field, which is the value, exceeds [`FRAME_BYTES_MAX`].
+    /// The size in the length field, reported here, exceeds [`FRAME_BYTES_MAX`].
     #[error("the frame has {0} bytes, more than the limit of {FRAME_BYTES_MAX}")]
     FrameTooLarge(usize),
     /// The content of the frame is not a heartbeat in CBOR.
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -33,7 +33,8 @@
 }
 
 impl HeartbeatReceiver {
-    /// Accepts links from the other controllers, of which there are `peer_count`, and records their heartbeats.
+    /// Accepts links from the other controllers, of which there are `peer_count`, and records their heartbeats. Closes
+    /// a new link at once if [`LINKS_PER_PEER`] links per peer are open.
     pub async fn serve(self, mut listener: Listener, peer_count: usize) {
         let links = Scope::new(&self.runtime);
         loop {
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -1,8 +1,8 @@
 //! Single-threaded asynchronous runtime on the calloop event loop: routines, timers, cancellation and sockets.
 //!
-//! A routine is a future without a result that is started in a [`Scope`]; other runtimes call it a task, which here is
-//! a part of a job. Each iteration of the event loop polls the routines that were woken, waits for sockets until the
-//! next timer is due, and fires the due timers.
+//! A routine is a future without a result that is started in a [`Scope`]. Other runtimes call it a task; in this
+//! project a task is a part of a job. Each iteration of the event loop polls the routines that were woken, waits for
+//! sockets until the next timer is due, and fires the due timers.
 
 mod clock;
 #[cfg(test)]
@@ -40,7 +40,7 @@
     network: Option<in_memory_network::Network>,
     timers: RefCell<Timers>,
     is_stopped: Cell<bool>,
-    /// The default value, of length 0, before the first pause.
+    /// The last process pause; the default value, of length 0, if there was none.
     last_pause: Cell<ProcessPause>,
 }
 
@@ -118,7 +118,7 @@
     fn spawn(&self, work: impl Future<Output = ()> + 'static) {
         #[cfg(test)]
         let work = in_memory_network::count_polls(self, work);
-        // Scheduling fails only after the event loop was dropped, and no routine runs then to call this method.
+        // Scheduling fails only after the event loop was dropped. By then no routine is left that could call this.
         if let Err(error) = self.0.scheduler.schedule(work) {
             tracing::error!(%error, "starting a routine failed");
         }
--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -44,7 +44,7 @@
 pub struct ProcessPause {
     /// End of the pause, on the monotonic clock.
     pub until: Time,
-    /// Length of the pause, in seconds.
+    /// Length of the pause, in seconds: the duration of the whole iteration of the event loop, including its wait.
     pub length_s: f64,
 }
 
--- a/src/runtime/scope.rs
+++ b/src/runtime/scope.rs
@@ -15,7 +15,8 @@
     shared: Rc<ScopeState>,
 }
 
-/// State that a scope shares with its routines, which outlive the scope by the time it takes to cancel them.
+/// State that a scope shares with its routines. Dropping the scope only wakes them; each is cancelled when it is polled
+/// next, so this state can outlive the scope.
 #[derive(Default)]
 struct ScopeState {
     cancel: Signal,
--- a/src/runtime/sockets.rs
+++ b/src/runtime/sockets.rs
@@ -116,6 +116,7 @@
     }
 
     /// Whether an idle connection can be reused: the peer has not closed it, and there are no unexpected bytes to read.
+    /// The check of a TCP connection may consume such a byte, so a connection that is not reusable must be dropped.
     pub fn is_reusable(&mut self) -> bool {
         match &mut self.0 {
             Connection::Tcp(io) => {
--- a/src/runtime/sync.rs
+++ b/src/runtime/sync.rs
@@ -91,7 +91,8 @@
     }
 }
 
-/// Notifies all routines that are waiting at the time. Unlike [`Signal`], later waits do not see the notification.
+/// Wakes all routines that are waiting when [`Notify::notify_all`] is called. Unlike a set [`Signal`], a notification
+/// has no effect on waits that start later.
 #[derive(Default)]
 pub struct Notify {
     /// Number of notifications so far.
