--- a/crates/loadtest/src/controllers.rs
+++ b/crates/loadtest/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers as real processes.
+//! Starts, pauses, kills and restarts controllers as separate processes on loopback.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -7,54 +7,56 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-use crate::http::{call, serve};
+use crate::http::{send_request, serve};
 use crate::state_service::StateService;
 
-/// The machine types of the fake cloud.
+/// Response of the fake cloud to a request for its machine types.
 const MACHINE_TYPES: &str = r#"{"Rigs":[{"Name":"small","Cores":64,"Gpus":0,"MemoryGb":512,"CacheGb":50,
     "PullGbPerS":1.0,"Rate":0.8,"SpotPrice":0.2,"ReadyS":30,"Yards":["z0","z1","z2"]}]}"#;
-/// Number of loopback ranges; processes with ids that differ by a multiple share one.
+/// Number of loopback address ranges. Two processes use the same range if their process ids differ by a multiple of it.
 const ADDRESS_RANGES: u32 = 250;
-/// Time limit of a call.
-const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval between two readiness checks.
+/// Timeout of a readiness request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between two readiness requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How controllers are started.
-pub struct Setup {
-    /// The program.
+/// The configuration of the controllers under test.
+pub struct ControllerSetup {
+    /// Path of the controllers' binary.
     pub program: PathBuf,
-    /// Folder of settings and logs.
+    /// Directory for settings files and logs of the controllers.
     pub folder: PathBuf,
     /// Number of controllers.
     pub count: usize,
-    /// Teams that the platform knows.
+    /// Teams in the deployment section of the settings file.
     pub teams: Vec<String>,
-    /// Text of the features file; `None`: all features are off.
+    /// Content of the features file. With `None`, the controllers run without one and all features are off.
     pub features: Option<String>,
 }
 
-/// The processes of the controllers.
+/// Running controllers; dropping the value kills their processes.
 pub struct Controllers {
-    setup: Setup,
+    setup: ControllerSetup,
     user_addresses: Vec<SocketAddr>,
+    /// By controller; `None` while the process is not running.
     processes: Vec<Option<Child>>,
 }
 
-/// Loopback addresses given out by this process.
-static ADDRESSES: AtomicU16 = AtomicU16::new(0);
+/// Number of loopback addresses that this process has allocated.
+static ALLOCATED_ADDRESSES: AtomicU16 = AtomicU16::new(0);
 
-/// A free port of a loopback address that no other process uses. At 127.0.0.1 an outgoing connection of another
-/// process could take the port between its being found and its being listened at.
-fn free_addr() -> io::Result<SocketAddr> {
-    let number = ADDRESSES.fetch_add(1, Ordering::Relaxed);
+/// Returns a free port on a loopback address that no other process uses. On 127.0.0.1, an outgoing connection of
+/// another process could occupy the port after it was found free and before the controller listens on it.
+fn free_address() -> io::Result<SocketAddr> {
+    let number = ALLOCATED_ADDRESSES.fetch_add(1, Ordering::Relaxed);
     let [high, low] = number.to_be_bytes();
     let process = (std::process::id() % ADDRESS_RANGES) as u8;
     let ip = Ipv4Addr::new(127, 1 + process, high, 1 + low % u8::MAX);
     TcpListener::bind((ip, 0))?.local_addr()
 }
 
-/// A cloud that knows one machine type and never has one: jobs wait until they are cancelled.
+/// Starts a fake cloud that offers one machine type and rejects every rental for lack of capacity, so that jobs stay
+/// pending until they are cancelled.
 fn start_cloud() -> io::Result<SocketAddr> {
     serve(
         |request| match (request.method.as_str(), request.path.as_str()) {
@@ -69,18 +71,25 @@
 }
 
 impl Controllers {
-    /// Starts all against a state service.
-    pub fn start(setup: Setup, state: SocketAddr) -> io::Result<Self> {
+    /// Writes the settings files and starts all controllers against a state service and a fake cloud.
+    pub fn start(setup: ControllerSetup, state: SocketAddr) -> io::Result<Self> {
         let cloud = start_cloud()?;
         let mut user_addresses = Vec::new();
         let mut peer_addresses = Vec::new();
         for _ in 0..setup.count {
-            user_addresses.push(free_addr()?);
-            peer_addresses.push(free_addr()?);
+            user_addresses.push(free_address()?);
+            peer_addresses.push(free_address()?);
         }
-        for at in 0..setup.count {
-            let text = settings(&setup, at, &user_addresses, &peer_addresses, cloud, state);
-            std::fs::write(setup.folder.join(format!("n{at}.toml")), text)?;
+        for index in 0..setup.count {
+            let text = settings_file(
+                &setup,
+                index,
+                &user_addresses,
+                &peer_addresses,
+                cloud,
+                state,
+            );
+            std::fs::write(setup.folder.join(format!("n{index}.toml")), text)?;
         }
         if let Some(features) = &setup.features {
             std::fs::write(setup.folder.join("features.toml"), features)?;
@@ -91,70 +100,72 @@
             user_addresses,
             processes,
         };
-        for at in 0..controllers.setup.count {
-            controllers.restart(at)?;
+        for index in 0..controllers.setup.count {
+            controllers.restart(index)?;
         }
         Ok(controllers)
     }
 
-    /// Addresses at which the controllers serve users.
+    /// Addresses on which the controllers serve users, by controller.
     pub fn user_addresses(&self) -> &[SocketAddr] {
         &self.user_addresses
     }
 
-    /// Kills a controller's process, if there is one, and starts another.
-    pub fn restart(&mut self, at: usize) -> io::Result<()> {
-        self.kill(at)?;
+    /// Kills a controller's process if it is running, and starts a new one with the same settings.
+    pub fn restart(&mut self, index: usize) -> io::Result<()> {
+        self.kill(index)?;
         let folder: &Path = &self.setup.folder;
         let mut command = Command::new(&self.setup.program);
         command
             .arg("run")
             .arg("--config")
-            .arg(folder.join(format!("n{at}.toml")));
+            .arg(folder.join(format!("n{index}.toml")));
         if self.setup.features.is_some() {
             command.arg("--features").arg(folder.join("features.toml"));
         }
         let log = std::fs::File::options()
             .create(true)
             .append(true)
-            .open(folder.join(format!("n{at}.log")))?;
+            .open(folder.join(format!("n{index}.log")))?;
         let child = command.stdin(Stdio::null()).stderr(log).spawn()?;
-        self.processes[at] = Some(child);
+        self.processes[index] = Some(child);
         Ok(())
     }
 
-    /// Kills a controller's process.
-    pub fn kill(&mut self, at: usize) -> io::Result<()> {
-        if let Some(mut child) = self.processes[at].take() {
+    /// Kills a controller's process with SIGKILL and waits for its exit. Does nothing if it is not running.
+    pub fn kill(&mut self, index: usize) -> io::Result<()> {
+        if let Some(mut child) = self.processes[index].take() {
             child.kill()?;
             child.wait()?;
         }
         Ok(())
     }
 
-    /// Pauses a controller's process, or resumes it.
-    pub fn set_paused(&self, at: usize, paused: bool) -> io::Result<()> {
-        let Some(child) = &self.processes[at] else {
+    /// Pauses a controller's process with SIGSTOP or resumes it with SIGCONT. Does nothing if it is not running.
+    pub fn set_paused(&self, index: usize, paused: bool) -> io::Result<()> {
+        let Some(child) = &self.processes[index] else {
             return Ok(());
         };
         let signal = if paused { "-STOP" } else { "-CONT" };
-        let sent = Command::new("kill")
+        let status = Command::new("kill")
             .args([signal, &child.id().to_string()])
             .status()?;
-        if sent.success() {
+        if status.success() {
             Ok(())
         } else {
-            Err(io::Error::other("the signal was not sent"))
+            Err(io::Error::other(format!(
+                "kill {signal} of controller n{index} failed: {status}"
+            )))
         }
     }
 
-    /// Waits until all are ready.
-    pub fn wait_until_ready(&self, state: &StateService, limit: Duration) -> io::Result<()> {
-        let deadline = Instant::now() + limit;
+    /// Waits until all controllers report that they are ready. The timeout covers all of them together.
+    pub fn wait_until_ready(&self, state: &StateService, timeout: Duration) -> io::Result<()> {
+        let deadline = Instant::now() + timeout;
         for address in &self.user_addresses {
             loop {
                 if matches!(
-                    call(*address, "GET", "/ready", "", CALL_TIMEOUT),
+                    send_request(*address, "GET", "/ready", "", REQUEST_TIMEOUT),
                     Ok((200, _))
                 ) {
                     break;
@@ -162,10 +173,11 @@
                 if Instant::now() > deadline {
                     return Err(io::Error::new(
                         io::ErrorKind::TimedOut,
-                        format!("{address} is not ready"),
+                        format!("controller at {address} was not ready within {timeout:?}"),
                     ));
                 }
-                // What they wait for is stored by one of them.
+                // Readiness depends on records that one of the controllers writes to the store. The condition is never
+                // true, so this pauses for the whole interval.
                 state.wait_until(POLL_INTERVAL, |_| false);
             }
         }
@@ -175,31 +187,32 @@
 
 impl Drop for Controllers {
     fn drop(&mut self) {
-        for at in 0..self.processes.len() {
-            // A process that can't be killed has ended.
-            let _ = self.kill(at);
+        for index in 0..self.processes.len() {
+            // An error means that the process has already ended.
+            let _ = self.kill(index);
         }
     }
 }
 
-fn settings(
-    setup: &Setup,
-    at: usize,
+/// Returns the content of a controller's settings file.
+fn settings_file(
+    setup: &ControllerSetup,
+    index: usize,
     user_addresses: &[SocketAddr],
     peer_addresses: &[SocketAddr],
     cloud: SocketAddr,
     state: SocketAddr,
 ) -> String {
     let mut text = format!(
-        "host_name = \"n{at}\"\ndomain = \"z{}\"\nfront = \"{}\"\ncluster_listen = \"{}\"\n",
-        at % 3,
-        user_addresses[at],
-        peer_addresses[at]
+        "host_name = \"n{index}\"\ndomain = \"z{}\"\nfront = \"{}\"\ncluster_listen = \"{}\"\n",
+        index % 3,
+        user_addresses[index],
+        peer_addresses[index]
     );
     for (other, address) in peer_addresses
         .iter()
         .enumerate()
-        .filter(|(other, _)| *other != at)
+        .filter(|(other, _)| *other != index)
     {
         text += &format!(
             "[[known]]\nhost_name = \"n{other}\"\ndomain = \"z{}\"\nendpoint = \"{address}\"\n",
--- a/crates/loadtest/src/http.rs
+++ b/crates/loadtest/src/http.rs
@@ -1,4 +1,4 @@
-//! The part of HTTP/1.1 that the fakes and the users need, on blocking sockets.
+//! A minimal HTTP/1.1 server and client on blocking sockets, for the fake services and the users.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,37 +6,38 @@
 use std::thread;
 use std::time::Duration;
 
-const HEADERS_MAX: usize = 32;
-const CHUNK: usize = 8192;
+const MAX_HEADERS: usize = 32;
+/// Maximum number of bytes in one read from a socket.
+const READ_BYTES: usize = 8192;
 
-/// A request as received.
+/// A received request.
 pub struct Request {
-    /// Its method.
+    /// HTTP method, such as `GET`.
     pub method: String,
-    /// Its path with the query.
+    /// Path, including the query string.
     pub path: String,
-    /// Its body.
+    /// Body; empty if the request has none.
     pub body: Vec<u8>,
 }
 
-/// A response: status and body.
+/// The status and the body of a response.
 pub type Response = (u16, String);
 
-/// The head of a message: its length, that of the body, and what it says.
-struct Head<T> {
-    length: usize,
-    body: usize,
+/// The parsed head of a message. Lengths are in bytes.
+struct MessageHead<T> {
+    head_length: usize,
+    body_length: usize,
     value: T,
 }
 
-/// What a request asks for.
-struct Target {
+/// The method and the path of a request.
+struct RequestLine {
     method: String,
     path: String,
 }
 
-fn malformed(what: impl ToString) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what.to_string())
+fn malformed(reason: impl ToString) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, reason.to_string())
 }
 
 fn content_length(headers: &[httparse::Header<'_>]) -> io::Result<usize> {
@@ -53,22 +54,23 @@
     }
 }
 
-/// Reads until `parse` has found a head, and the body after it. None at the end of the connection.
+/// Reads a message: a head that `parse` recognizes, and its body. Returns `None` if the peer closes the connection
+/// first. `buffer` keeps bytes beyond the message for the next call.
 fn read_message<T>(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-    parse: impl Fn(&[u8]) -> io::Result<Option<Head<T>>>,
+    parse: impl Fn(&[u8]) -> io::Result<Option<MessageHead<T>>>,
 ) -> io::Result<Option<(T, Vec<u8>)>> {
     loop {
         if let Some(head) = parse(buffer)?
-            && buffer.len() >= head.length + head.body
+            && buffer.len() >= head.head_length + head.body_length
         {
-            let end = head.length + head.body;
-            let body = buffer[head.length..end].to_vec();
+            let end = head.head_length + head.body_length;
+            let body = buffer[head.head_length..end].to_vec();
             buffer.drain(..end);
             return Ok(Some((head.value, body)));
         }
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; READ_BYTES];
         let count = stream.read(&mut chunk)?;
         if count == 0 {
             return Ok(None);
@@ -77,36 +79,36 @@
     }
 }
 
-fn parse_request(bytes: &[u8]) -> io::Result<Option<Head<Target>>> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+fn parse_request(bytes: &[u8]) -> io::Result<Option<MessageHead<RequestLine>>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let httparse::Status::Complete(head) = request.parse(bytes).map_err(malformed)? else {
         return Ok(None);
     };
     let method = request.method.unwrap_or_default().to_owned();
     let path = request.path.unwrap_or_default().to_owned();
-    Ok(Some(Head {
-        length: head,
-        body: content_length(request.headers)?,
-        value: Target { method, path },
+    Ok(Some(MessageHead {
+        head_length: head,
+        body_length: content_length(request.headers)?,
+        value: RequestLine { method, path },
     }))
 }
 
-fn parse_response(bytes: &[u8]) -> io::Result<Option<Head<u16>>> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+fn parse_response(bytes: &[u8]) -> io::Result<Option<MessageHead<u16>>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let httparse::Status::Complete(head) = response.parse(bytes).map_err(malformed)? else {
         return Ok(None);
     };
     let status = response.code.unwrap_or_default();
-    Ok(Some(Head {
-        length: head,
-        body: content_length(response.headers)?,
+    Ok(Some(MessageHead {
+        head_length: head,
+        body_length: content_length(response.headers)?,
         value: status,
     }))
 }
 
-/// Serves at a free port of the loopback address until the process ends.
+/// Serves requests on a free port of 127.0.0.1 until the process ends, with one thread per connection.
 pub fn serve(
     handler: impl Fn(Request) -> Response + Send + Sync + 'static,
 ) -> io::Result<SocketAddr> {
@@ -125,7 +127,7 @@
 fn serve_connection(mut stream: TcpStream, handler: &dyn Fn(Request) -> Response) {
     let mut buffer = Vec::new();
     let _ = stream.set_nodelay(true);
-    while let Ok(Some((Target { method, path }, body))) =
+    while let Ok(Some((RequestLine { method, path }, body))) =
         read_message(&mut stream, &mut buffer, parse_request)
     {
         let (status, text) = handler(Request { method, path, body });
@@ -139,23 +141,24 @@
     }
 }
 
-/// Sends a request over a connection of its own.
-pub fn call(
-    to: SocketAddr,
+/// Sends a request over a new connection. The timeout applies to connecting and to each read.
+pub fn send_request(
+    address: SocketAddr,
     method: &str,
     path: &str,
     body: &str,
-    limit: Duration,
+    timeout: Duration,
 ) -> io::Result<Response> {
-    let mut stream = TcpStream::connect_timeout(&to, limit)?;
-    stream.set_read_timeout(Some(limit))?;
+    let mut stream = TcpStream::connect_timeout(&address, timeout)?;
+    stream.set_read_timeout(Some(timeout))?;
     stream.set_nodelay(true)?;
     let head = format!(
-        "{method} {path} HTTP/1.1\r\nHost: {to}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
+        "{method} {path} HTTP/1.1\r\nHost: {address}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
         body.len()
     );
     stream.write_all((head + body).as_bytes())?;
     let message = read_message(&mut stream, &mut Vec::new(), parse_response)?;
-    let (status, body) = message.ok_or_else(|| malformed("no answer"))?;
+    let (status, body) =
+        message.ok_or_else(|| malformed("connection closed before a complete response"))?;
     Ok((status, String::from_utf8_lossy(&body).into_owned()))
 }
--- a/crates/loadtest/src/lib.rs
+++ b/crates/loadtest/src/lib.rs
@@ -1,5 +1,6 @@
-//! Real controllers on loopback under load: thousands of submissions at once, processes killed and started again,
-//! against fakes of the state service and the cloud. What was stored is checked afterwards by its history.
+//! Load tests of real controller processes on loopback, against fakes of the state service and the cloud. Users submit
+//! thousands of jobs concurrently while controllers are killed and restarted. The history of the state service shows
+//! afterwards whether the quotas were kept.
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,4 +1,5 @@
-//! `quota-load`: a burst of submissions at real controllers, quotas off and on, and a report.
+//! `quota-load`: submits a burst of jobs to real controllers, first with quotas off and then with quotas on, and writes
+//! a report that compares the two runs.
 
 use std::fmt;
 use std::io;
@@ -8,59 +9,59 @@
 use std::time::Duration;
 
 use clap::Parser;
-use loadtest::controllers::{Controllers, Setup};
+use loadtest::controllers::{ControllerSetup, Controllers};
 use loadtest::report::PlotError;
 use loadtest::state_service::StateService;
 use loadtest::users::{UserResponses, Workload, run_users};
 use loadtest::{report, usage_history};
 
-/// Loads real controllers on loopback.
+/// Load-tests real controllers on loopback, with quotas off and on.
 #[derive(Parser)]
 struct Args {
-    /// The controllers' program.
+    /// Path of the controllers' binary.
     #[arg(long, default_value = "target/release/capervale")]
     program: PathBuf,
-    /// Where settings, logs and the report go.
+    /// Directory for settings, logs and the report.
     #[arg(long)]
     folder: PathBuf,
-    /// How many controllers.
+    /// Number of controllers.
     #[arg(long, default_value_t = 3)]
     controllers: usize,
-    /// How many teams.
+    /// Number of teams.
     #[arg(long, default_value_t = 1)]
     teams: usize,
-    /// Jobs submitted.
+    /// Number of jobs to submit.
     #[arg(long, default_value_t = 3000)]
     jobs: u64,
-    /// Users at a time.
+    /// Number of concurrent users.
     #[arg(long, default_value_t = 48)]
     users: usize,
-    /// CPUs that each team may have; a job takes two.
+    /// Quota limit of each team in CPUs; a job uses two.
     #[arg(long, default_value_t = 200.0)]
     limit: f64,
-    /// Accepted jobs that are cancelled at once.
+    /// Fraction of accepted jobs that are cancelled right after submission.
     #[arg(long, default_value_t = 0.5)]
     cancelled: f64,
-    /// Milliseconds that a user waits who was refused.
+    /// Pause of a user after a submission that was not accepted, in milliseconds.
     #[arg(long, default_value_t = 50)]
     pause_ms: u64,
-    /// A controller is killed and started again after so many submissions; 0: none is.
+    /// Number of submissions between restarts; each kills and restarts the next controller. 0 disables restarts.
     #[arg(long, default_value_t = 0)]
     restart_every: u64,
 }
 
-/// Result of a run.
+/// Result of a run with quotas off or on.
 struct Outcome {
     responses: UserResponses,
     state: Arc<StateService>,
 }
 
-/// Why there is no report.
+/// A failure that prevents the report.
 #[derive(Debug)]
 enum LoadError {
-    /// Files can't be written, or the controllers don't start or don't become ready.
+    /// Files could not be written, or the controllers did not start or become ready.
     Io(io::Error),
-    /// The plot can't be drawn.
+    /// The plot could not be drawn.
     Plot(PlotError),
 }
 
@@ -85,14 +86,14 @@
     }
 }
 
-/// Starts controllers, with quotas or without, and runs the users against them.
+/// Starts controllers and runs the users against them. Quotas are on if `features` is given.
 fn run(args: &Args, teams: &[String], features: Option<String>) -> io::Result<Outcome> {
     let folder = args
         .folder
         .join(if features.is_some() { "on" } else { "off" });
     std::fs::create_dir_all(&folder)?;
     let (state, addr) = StateService::start()?;
-    let setup = Setup {
+    let setup = ControllerSetup {
         program: args.program.clone(),
         folder,
         count: args.controllers,
@@ -114,16 +115,16 @@
     let responses = run_users(&workload, |submitted| {
         if args.restart_every > 0 && submitted / args.restart_every > restarts {
             restarts += 1;
-            let at = restarts as usize % args.controllers;
-            if let Err(e) = controllers.restart(at) {
-                eprintln!("n{at} can't be restarted: {e}");
+            let index = restarts as usize % args.controllers;
+            if let Err(e) = controllers.restart(index) {
+                eprintln!("restart of controller n{index} failed: {e}");
             }
         }
     });
     Ok(Outcome { responses, state })
 }
 
-/// The features file: each team is guaranteed half of its limit.
+/// Returns the content of the features file. Each team is guaranteed half of its limit.
 fn features_file(teams: &[String], limit: f64) -> String {
     let total = limit * teams.len() as f64;
     let mut features = format!("[quota]\ntotal = {{ cpus = {total} }}\n");
@@ -136,24 +137,26 @@
     features
 }
 
-/// Counts of the responses that a run is judged by.
+/// Returns the number of submissions with status 201, 429 and 503, and without a response.
 fn response_counts(responses: &UserResponses) -> String {
     let counts = [201, 429, 503, 0].map(|status| responses.count(status).to_string());
     counts.join(", ")
 }
 
-/// Runs with quotas off and on, and reports; returns whether the limit was kept.
+/// Runs with quotas off and on and writes the report. Returns whether no team exceeded its limit while quotas were on.
 fn compare(args: &Args) -> Result<bool, LoadError> {
-    let teams: Vec<String> = (0..args.teams).map(|at| format!("team-{at}")).collect();
+    let teams: Vec<String> = (0..args.teams)
+        .map(|number| format!("team-{number}"))
+        .collect();
     let off = run(args, &teams, None)?;
     let on = run(args, &teams, Some(features_file(&teams, args.limit)))?;
     let history = on.state.history();
     let usage = usage_history::usage_by_team(&history);
-    let most = usage
+    let max_cpus = usage
         .values()
         .map(|points| usage_history::max_cpus(points))
         .fold(0.0, f64::max);
-    let is_within_limit = most <= args.limit + 1e-6;
+    let is_within_limit = max_cpus <= args.limit + 1e-6;
     let accepted = on.responses.count(201).max(1);
     let quota_writes = usage_history::write_count(&history, "quota") as f64 / accepted as f64;
     let facts = [
@@ -166,7 +169,7 @@
         ("the same with quotas off", response_counts(&off.responses)),
         (
             "limit and most CPUs of a team",
-            format!("{}, {most}", args.limit),
+            format!("{}, {max_cpus}", args.limit),
         ),
         ("limit kept", is_within_limit.to_string()),
         (
@@ -179,19 +182,30 @@
     for (name, value) in &facts {
         println!("{name}: {value}");
     }
-    for (reason, count) in on.responses.reasons.lock().expect("no user panics").iter() {
+    for (reason, count) in on
+        .responses
+        .error_counts
+        .lock()
+        .expect("no user thread panics")
+        .iter()
+    {
         println!("  {count} times {reason}");
     }
-    let rows = [("quotas off", &off), ("quotas on", &on)].map(|(name, run)| latencies(name, run));
+    let rows =
+        [("quotas off", &off), ("quotas on", &on)].map(|(name, run)| report_latencies(name, run));
     let plot = report::usage_plot(&usage, args.limit)?;
     let page = report::page("Quotas under load", &facts, &rows, &plot);
     std::fs::write(args.folder.join("report.html"), page)?;
     Ok(is_within_limit)
 }
 
-/// Prints the latencies of a run; returns them as a row of the report.
-fn latencies(name: &str, run: &Outcome) -> String {
-    let latencies = run.responses.latencies.lock().expect("no user panics");
+/// Prints the latency quantiles of a run and returns them as a table row of the report.
+fn report_latencies(name: &str, run: &Outcome) -> String {
+    let latencies = run
+        .responses
+        .latencies
+        .lock()
+        .expect("no user thread panics");
     println!(
         "{name}: median {:.1} ms, 0.99 {:.1} ms",
         latencies.value_at_quantile(0.5) as f64 / 1000.0,
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -14,10 +14,10 @@
 
 /// Width and height of the plot in pixels.
 const SIZE: (u32, u32) = (900, 320);
-/// Quantiles of latencies that are reported.
+/// Quantiles of the submission latencies in the report.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 1.0];
 
-/// A plot of teams' usage and of a limit.
+/// Returns an SVG plot of the usage of all teams over time, with the limit as a red line.
 pub fn usage_plot(
     usage: &BTreeMap<String, Vec<UsagePoint>>,
     limit: f64,
@@ -36,9 +36,11 @@
     limit: f64,
 ) -> Result<(), PlotError> {
     area.fill(&WHITE)?;
-    let last = usage.values().filter_map(|points| points.last());
-    let until = last.map(|point| point.at.as_secs_f64()).fold(1.0, f64::max);
-    let top = usage
+    let last_points = usage.values().filter_map(|points| points.last());
+    let end_s = last_points
+        .map(|point| point.elapsed.as_secs_f64())
+        .fold(1.0, f64::max);
+    let max_cpus = usage
         .values()
         .map(|points| crate::usage_history::max_cpus(points))
         .fold(limit, f64::max);
@@ -46,21 +48,21 @@
         .margin(8)
         .x_label_area_size(30)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..until, 0.0..top * 1.1)?;
+        .build_cartesian_2d(0.0..end_s, 0.0..max_cpus * 1.1)?;
     chart.configure_mesh().x_desc("s").y_desc("CPUs").draw()?;
-    for (at, points) in usage.values().enumerate() {
-        let color = Palette99::pick(at).to_rgba();
+    for (index, points) in usage.values().enumerate() {
+        let color = Palette99::pick(index).to_rgba();
         let line = points
             .iter()
-            .map(|point| (point.at.as_secs_f64(), point.cpus));
+            .map(|point| (point.elapsed.as_secs_f64(), point.cpus));
         chart.draw_series(LineSeries::new(line, &color))?;
     }
-    chart.draw_series(LineSeries::new([(0.0, limit), (until, limit)], &RED))?;
+    chart.draw_series(LineSeries::new([(0.0, limit), (end_s, limit)], &RED))?;
     area.present()?;
     Ok(())
 }
 
-/// Quantiles of latencies, as a row of a table.
+/// Returns a table row with the number of latencies and their quantiles in milliseconds. Latencies are in microseconds.
 pub fn latency_row(name: &str, latencies: &Histogram<u64>) -> String {
     let mut row = format!("<tr><td>{name}</td><td>{}</td>", latencies.len());
     for quantile in QUANTILES {
@@ -71,7 +73,7 @@
     row + "</tr>"
 }
 
-/// The whole page.
+/// Returns the HTML page. Each fact becomes a table row; `latencies` are rows from [`latency_row`].
 pub fn page(title: &str, facts: &[(String, String)], latencies: &[String], plot: &str) -> String {
     let rows: String = facts
         .iter()
--- a/crates/loadtest/src/schemes.rs
+++ b/crates/loadtest/src/schemes.rs
@@ -1,5 +1,6 @@
-//! Schemes that share a limit among controllers, simulated with the same demand in rounds of one heartbeat. The
-//! escrow is the real one on a store that answers at once; the others are models of their rules.
+//! Simulates schemes that divide a quota limit among controllers, all with the same demand, in rounds of one heartbeat
+//! interval. The escrow scheme runs the production code of the `quota` crate against a store without latency. The other
+//! schemes are models of their rules.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -10,36 +11,37 @@
     QuotaSettings, RevisionCondition, transfer,
 };
 
-/// A job that is submitted: where, how large, and how many rounds it lasts.
+/// A submitted job.
 #[derive(Debug, Clone, Copy)]
 pub struct Demand {
-    /// The controller that its user reaches.
+    /// Index of the controller that receives the submission.
     pub controller: usize,
-    /// CPUs.
+    /// CPUs that the job uses.
     pub cpus: f64,
-    /// Rounds until it is over.
+    /// Number of rounds from the admission of the job to its end.
     pub rounds: u32,
 }
 
-/// Outcome of a scheme for a demand.
+/// Outcome of a simulation of one scheme.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct SchemeResult {
-    /// Jobs admitted.
+    /// Number of jobs admitted.
     pub admitted: u32,
-    /// Jobs refused though a perfect allocator had had room for them.
-    pub refused_despite_room: u32,
-    /// Jobs refused as there was no room anywhere.
+    /// Number of jobs refused although the unused part of the whole limit was large enough for them.
+    pub refused_despite_capacity: u32,
+    /// Number of jobs refused because the whole limit had too little capacity left.
     pub refused: u32,
-    /// Writes beside the jobs' own.
+    /// Number of writes to the store in addition to those of the jobs' own records.
     pub writes: u32,
-    /// Mean share of the limit in use, at the end of each round.
+    /// Fraction of the limit in use at the end of a round, averaged over all rounds.
     pub used: f64,
 }
 
-/// Accounting common to all schemes: the limit, the use, and when charges end.
+/// Accounting common to all schemes: the limit, the usage, and the rounds in which jobs end.
 struct UsageAccounting {
     limit: f64,
     used: f64,
+    /// By round: controller and CPUs of each job that ends in it.
     ends: BTreeMap<u32, Vec<(usize, f64)>>,
     result: SchemeResult,
     rounds: u32,
@@ -56,23 +58,27 @@
         }
     }
 
+    /// Releases the jobs that end in a round and returns their controllers and CPUs.
     fn begin_round(&mut self, round: u32) -> Vec<(usize, f64)> {
-        let over = self.ends.remove(&round).unwrap_or_default();
-        self.used -= over.iter().map(|(_, cpus)| cpus).sum::<f64>();
-        over
+        let ended = self.ends.remove(&round).unwrap_or_default();
+        self.used -= ended.iter().map(|(_, cpus)| cpus).sum::<f64>();
+        ended
     }
 
     fn admit(&mut self, round: u32, demand: Demand) {
         self.used += demand.cpus;
-        assert!(self.used <= self.limit + 1e-6, "the limit is crossed");
-        let ended = self.ends.entry(round + demand.rounds).or_default();
-        ended.push((demand.controller, demand.cpus));
+        assert!(
+            self.used <= self.limit + 1e-6,
+            "the admitted jobs exceed the limit"
+        );
+        let ends_in_round = self.ends.entry(round + demand.rounds).or_default();
+        ends_in_round.push((demand.controller, demand.cpus));
         self.result.admitted += 1;
     }
 
     fn refuse(&mut self, demand: Demand) {
         if self.used + demand.cpus <= self.limit + 1e-6 {
-            self.result.refused_despite_room += 1;
+            self.result.refused_despite_capacity += 1;
         } else {
             self.result.refused += 1;
         }
@@ -91,7 +97,7 @@
     }
 }
 
-/// Each controller has an equal part of the limit for ever.
+/// Gives each controller an equal and constant share of the limit.
 pub fn fixed_shares(rounds: &[Vec<Demand>], limit: f64, controllers: usize) -> SchemeResult {
     let mut accounting = UsageAccounting::new(limit);
     let share = limit / controllers as f64;
@@ -113,17 +119,18 @@
     accounting.result()
 }
 
-/// One counter in the store, rewritten with each admission and each end. `attempts` rewrites succeed in a round:
-/// of those that meet, all but one must begin anew with a round trip.
-pub fn one_counter(rounds: &[Vec<Demand>], limit: f64, attempts: usize) -> SchemeResult {
+/// Keeps the usage in one counter in the store, which is rewritten for each admission and each job that ends. At most
+/// `writes_per_round` rewrites succeed in a round: of concurrent conditional writes only one succeeds, and the others
+/// retry after a round trip.
+pub fn shared_counter(rounds: &[Vec<Demand>], limit: f64, writes_per_round: usize) -> SchemeResult {
     let mut accounting = UsageAccounting::new(limit);
     for (round, demands) in (0..).zip(rounds) {
-        let over = accounting.begin_round(round).len();
-        accounting.result.writes += over as u32;
-        let mut left = attempts.saturating_sub(over);
+        let ended = accounting.begin_round(round).len();
+        accounting.result.writes += ended as u32;
+        let mut writes_left = writes_per_round.saturating_sub(ended);
         for demand in demands {
-            if left > 0 && accounting.used + demand.cpus <= limit + 1e-6 {
-                left -= 1;
+            if writes_left > 0 && accounting.used + demand.cpus <= limit + 1e-6 {
+                writes_left -= 1;
                 accounting.result.writes += 1;
                 accounting.admit(round, *demand);
             } else {
@@ -135,16 +142,17 @@
     accounting.result()
 }
 
-/// A controller of the escrow.
+/// A controller of the escrow scheme.
 struct Controller {
     admissions: Admissions,
     supervisor: Supervisor,
 }
 
-/// The escrow's accounts, which all controllers see at once.
+/// The accounts of the escrow scheme. Every controller sees a change as soon as it is made.
 struct Escrow {
     ledger: Ledger,
     revision: u64,
+    /// Revision of the last change of each account.
     revisions: BTreeMap<AccountId, u64>,
     controllers: Vec<Controller>,
     writes: u32,
@@ -152,10 +160,10 @@
 
 impl Escrow {
     fn new(settings: &Rc<QuotaSettings>, controllers: usize) -> Self {
-        let controller = |at: usize| Controller {
+        let controller = |index: usize| Controller {
             admissions: Admissions::new(
-                &format!("n{at}"),
-                at as u64 + 1,
+                &format!("n{index}"),
+                index as u64 + 1,
                 controllers,
                 settings.clone(),
             ),
@@ -173,10 +181,11 @@
         escrow
     }
 
+    /// Applies a plan as one transaction. Returns false if one of its conditions does not hold.
     fn apply(&mut self, plan: &Plan) -> bool {
-        let holds = |required: &RevisionCondition| {
-            let revision = self.revisions.get(&required.account).copied();
-            revision.unwrap_or(0) == required.revision
+        let holds = |condition: &RevisionCondition| {
+            let revision = self.revisions.get(&condition.account).copied();
+            revision.unwrap_or(0) == condition.revision
         };
         if !plan.conditions.iter().all(holds) {
             return false;
@@ -191,6 +200,7 @@
         true
     }
 
+    /// Lets the supervisor on the first controller make one change. Returns whether it was applied.
     fn supervise(&mut self) -> bool {
         let first = &mut self.controllers[0];
         let plan = first
@@ -199,22 +209,24 @@
         plan.is_some_and(|plan| self.apply(&plan))
     }
 
-    fn settle(&mut self, at: usize, plan: Option<Plan>, team: &str) -> bool {
+    /// Applies a controller's transfer, if there is one, and marks the transfer as completed.
+    fn apply_transfer(&mut self, index: usize, plan: Option<Plan>, team: &str) -> bool {
         let applied = plan.is_some_and(|plan| self.apply(&plan));
-        self.controllers[at].admissions.transfer_settled(team);
+        self.controllers[index].admissions.transfer_settled(team);
         applied
     }
 
-    fn decide(&mut self, at: usize, id: &str, charge: QuotaAmount, now: f64) -> Option<Attempt> {
+    /// Decides on a job at a controller, with one refill of its allotment if necessary. `None`: the job is refused.
+    fn decide(&mut self, index: usize, id: &str, charge: QuotaAmount, now: f64) -> Option<Attempt> {
         for _ in 0..2 {
-            let admissions = &mut self.controllers[at].admissions;
+            let admissions = &mut self.controllers[index].admissions;
             match admissions.decide(&self.ledger, id, TEAM, charge, now) {
                 Decision::Admitted(attempt) => return Some(attempt),
                 Decision::NeedsRefill => {
-                    let admissions = &self.controllers[at].admissions;
+                    let admissions = &self.controllers[index].admissions;
                     let plan =
                         transfer::refill(&self.ledger, admissions, &TEAM.into(), charge, now);
-                    self.settle(at, plan, TEAM);
+                    self.apply_transfer(index, plan, TEAM);
                 }
                 _ => return None,
             }
@@ -222,42 +234,43 @@
         None
     }
 
-    /// Controllers announce their shortages, and hand over units that they don't need.
+    /// Announces the shortages of each controller to all controllers. Then each controller grants units to others or
+    /// releases unused ones.
     fn heartbeat(&mut self, now: f64) {
-        for from in 0..self.controllers.len() {
-            let shortages = self.controllers[from].admissions.shortages(now);
-            let node: Rc<str> = format!("n{from}").as_str().into();
+        for sender in 0..self.controllers.len() {
+            let shortages = self.controllers[sender].admissions.shortages(now);
+            let node: Rc<str> = format!("n{sender}").as_str().into();
             for controller in &mut self.controllers {
                 for (team, amount) in &shortages {
                     controller.admissions.on_request(&node, team, *amount, now);
                 }
             }
         }
-        for at in 0..self.controllers.len() {
-            let admissions = &mut self.controllers[at].admissions;
+        for index in 0..self.controllers.len() {
+            let admissions = &mut self.controllers[index].admissions;
             let plan = transfer::grant(&self.ledger, admissions, now)
                 .or_else(|| transfer::release_unused(&self.ledger, admissions, now));
-            self.settle(at, plan, TEAM);
+            self.apply_transfer(index, plan, TEAM);
         }
         while self.supervise() {}
     }
 }
 
 const TEAM: &str = "team";
-/// Seconds between two heartbeats.
+/// Duration of a round in seconds.
 const HEARTBEAT_INTERVAL_S: f64 = 1.2;
 
-/// The escrow. Nothing is handed over more often than once in a round.
+/// Divides the limit with the escrow scheme. A controller hands over units at most once in a round.
 pub fn escrow(rounds: &[Vec<Demand>], limit: f64, controllers: usize) -> SchemeResult {
     let mut accounting = UsageAccounting::new(limit);
     let text = format!("total = {{ cpus = {limit} }}\n[[teams]]\nname = \"{TEAM}\"\n");
-    let section = toml::from_str(&text).expect("a text that is constant but for a figure");
-    let known = BTreeSet::from([TEAM]);
-    let settings = QuotaSettings::check(&section, &known).expect("figures above zero");
+    let section = toml::from_str(&text).expect("the settings are valid TOML for any limit");
+    let known_teams = BTreeSet::from([TEAM]);
+    let settings = QuotaSettings::check(&section, &known_teams).expect("the limit is positive");
     let mut escrow = Escrow::new(&Rc::new(settings), controllers);
     let team: Rc<str> = TEAM.into();
     let charge = |cpus: f64| QuotaAmount::of_job(1, cpus, 0.0, 0.0);
-    let mut number = 0;
+    let mut job_number = 0;
     for (round, demands) in (0..).zip(rounds) {
         let now = f64::from(round) * HEARTBEAT_INTERVAL_S;
         for (controller, cpus) in accounting.begin_round(round) {
@@ -265,16 +278,16 @@
             escrow.ledger.release(&team, Some(&node), charge(cpus), now);
         }
         for demand in demands {
-            number += 1;
-            let id = format!("j-{number}");
-            let at = demand.controller;
-            match escrow.decide(at, &id, charge(demand.cpus), now) {
+            job_number += 1;
+            let id = format!("j-{job_number}");
+            let index = demand.controller;
+            match escrow.decide(index, &id, charge(demand.cpus), now) {
                 Some(attempt) => {
-                    let node: Rc<str> = format!("n{at}").as_str().into();
+                    let node: Rc<str> = format!("n{index}").as_str().into();
                     escrow
                         .ledger
                         .charge(&team, Some(&node), charge(demand.cpus));
-                    let admissions = &mut escrow.controllers[at].admissions;
+                    let admissions = &mut escrow.controllers[index].admissions;
                     admissions.finish(&attempt, AttemptOutcome::MayBeApplied, now);
                     admissions.prune(&escrow.ledger, |_| true);
                     accounting.admit(round, *demand);
--- a/crates/loadtest/src/usage_history.rs
+++ b/crates/loadtest/src/usage_history.rs
@@ -1,30 +1,32 @@
-//! Usage of teams at each revision of the state service, recomputed from the records of jobs alone.
+//! Recomputes the usage of each team over time from the history of the state service. It uses only the records of jobs,
+//! so that the result does not depend on the quota records, which are under test.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::state_service::Committed;
+use crate::state_service::CommittedChange;
 
-/// CPUs of a team's unfinished jobs after a change.
+/// Total CPUs of a team's unfinished jobs after a change.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UsagePoint {
-    /// Time since the service began.
-    pub at: Duration,
-    /// CPUs of all tasks of these jobs.
+    /// Time from the start of the state service to the change.
+    pub elapsed: Duration,
+    /// CPUs of all tasks of the team's unfinished jobs.
     pub cpus: f64,
 }
 
-/// The CPUs of unfinished jobs over time, by team. A job counts until it is done, or cancelled and its record cleared.
-pub fn usage_by_team(history: &[Committed]) -> BTreeMap<String, Vec<UsagePoint>> {
+/// Returns the CPUs of unfinished jobs over time, by team. A job counts until it is done or, if it was cancelled, until
+/// its record is deleted.
+pub fn usage_by_team(history: &[CommittedChange]) -> BTreeMap<String, Vec<UsagePoint>> {
     let mut jobs: BTreeMap<String, (String, f64)> = BTreeMap::new();
-    let mut sums: BTreeMap<String, f64> = BTreeMap::new();
+    let mut current_cpus: BTreeMap<String, f64> = BTreeMap::new();
     let mut usage: BTreeMap<String, Vec<UsagePoint>> = BTreeMap::new();
-    for committed in history {
-        let mut parts = committed.key.rsplitn(3, '/');
-        let (Some(id), Some(family)) = (parts.next(), parts.next()) else {
+    for change in history {
+        let mut segments = change.key.rsplitn(3, '/');
+        let (Some(id), Some(record_type)) = (segments.next(), segments.next()) else {
             continue;
         };
-        let (team, cpus) = match (family, &committed.value) {
+        let (team, cpus) = match (record_type, &change.value) {
             ("job", Some(job)) => {
                 let team = job["Crew"].as_str().unwrap_or_default().to_owned();
                 let cpus =
@@ -39,27 +41,27 @@
             },
             _ => continue,
         };
-        let sum = sums.entry(team.clone()).or_default();
-        *sum += cpus;
+        let total = current_cpus.entry(team.clone()).or_default();
+        *total += cpus;
         let point = UsagePoint {
-            at: committed.at,
-            cpus: *sum,
+            elapsed: change.elapsed,
+            cpus: *total,
         };
         usage.entry(team).or_default().push(point);
     }
     usage
 }
 
-/// The largest number of CPUs.
+/// Returns the highest usage in a series, or 0 if it is empty.
 pub fn max_cpus(points: &[UsagePoint]) -> f64 {
     points.iter().map(|point| point.cpus).fold(0.0, f64::max)
 }
 
-/// Number of writes to keys of a family, such as `job` or `quota`.
-pub fn write_count(history: &[Committed], family: &str) -> usize {
-    let part = format!("/{family}/");
+/// Returns the number of changes of keys with a path segment, such as `job` or `quota`.
+pub fn write_count(history: &[CommittedChange], segment: &str) -> usize {
+    let pattern = format!("/{segment}/");
     history
         .iter()
-        .filter(|committed| committed.key.contains(&part))
+        .filter(|change| change.key.contains(&pattern))
         .count()
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,22 +1,22 @@
-//! The list of tests that are known to fail lets just these fail.
+//! Checks `.ci/known-red`, the script that accepts a test run only if exactly the tests listed in KNOWN-RED.txt fail.
 
 use std::fs;
 use std::process::Command;
 
-/// Whether the script passes, for a list and the lines of a test run.
+/// Returns whether the script accepts a test run, given the list of known failures and the output of the run.
 fn passes(list: &str, output: &str) -> bool {
     let dir = tempfile::tempdir().unwrap();
-    let (list_at, output_at) = (dir.path().join("list"), dir.path().join("output"));
-    fs::write(&list_at, list).unwrap();
-    fs::write(&output_at, output).unwrap();
+    let (list_path, output_path) = (dir.path().join("list"), dir.path().join("output"));
+    fs::write(&list_path, list).unwrap();
+    fs::write(&output_path, output).unwrap();
     let script = concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/known-red");
     let run = Command::new("bash")
         .arg(script)
-        .args([&list_at, &output_at])
+        .args([&list_path, &output_path])
         .output()
         .unwrap();
     let printed = String::from_utf8_lossy(&run.stdout);
-    // What is let through is printed.
+    // The script must print the failures that it accepts.
     assert!(!run.status.success() || list.lines().all(|line| printed.contains(line)));
     run.status.success()
 }
@@ -27,19 +27,23 @@
 #[test]
 fn only_listed_tests_may_fail_and_they_must() {
     assert!(passes(LIST, RUN));
-    let both = RUN.replace("two ... ok", "two ... FAILED");
-    assert!(!passes(LIST, &both));
-    assert!(passes(&format!("{LIST}a::two; another; issue 2\n"), &both));
-    let none = RUN.replace("FAILED\ntest a", "ok\ntest a");
-    assert!(!passes(LIST, &none));
+    let two_failures = RUN.replace("two ... ok", "two ... FAILED");
+    assert!(!passes(LIST, &two_failures));
+    assert!(passes(
+        &format!("{LIST}a::two; another; issue 2\n"),
+        &two_failures
+    ));
+    let no_failure = RUN.replace("FAILED\ntest a", "ok\ntest a");
+    assert!(!passes(LIST, &no_failure));
     assert!(!passes("a::three; no such test; issue 17\n", RUN));
     assert!(!passes(LIST, "error: could not compile `x`\n"));
     assert!(!passes(LIST, ""));
-    // One binary crashed.
+    // A test binary that crashes prints no result line. The script must not accept the run.
     let crashed = format!("     Running unittests x\n{RUN}     Running tests/y.rs\n");
     assert!(!passes(LIST, &crashed));
 }
 
+/// The script rejects lists with incomplete entries and lists of more than three entries.
 #[test]
 fn lists_are_short_and_their_lines_complete() {
     assert!(!passes("", RUN));
@@ -53,12 +57,14 @@
         assert!(!passes(&format!("{line}\n"), RUN), "{line}");
     }
     let names = ["a", "b", "c", "d"];
-    let run: String = names.map(|n| format!("test {n} ... FAILED\n")).concat();
+    let run: String = names
+        .map(|name| format!("test {name} ... FAILED\n"))
+        .concat();
     let run = format!("{run}test result: FAILED.\n");
-    let list = |n| -> String {
-        let lines = names[..n]
+    let list = |count| -> String {
+        let lines = names[..count]
             .iter()
-            .map(|n| format!("{n}; the cause; issue 17\n"));
+            .map(|name| format!("{name}; the cause; issue 17\n"));
         lines.collect()
     };
     assert!(!passes(&list(4), &run));
