--- a/crates/loadtest/src/bin/quota-schemes.rs
+++ b/crates/loadtest/src/bin/quota-schemes.rs
@@ -26,6 +26,7 @@
 /// the rest to random controllers.
 fn demand(seed: u64, controllers: usize, load: f64, skew: f64) -> Vec<Vec<Demand>> {
     let mut rng = StdRng::seed_from_u64(seed);
+    // Means of the ranges from which `rounds` and `cpus` are drawn below.
     let mean_rounds = 20.0;
     let mean_cpus = 4.5;
     let jobs_per_round = load * LIMIT / (mean_rounds * mean_cpus);
@@ -99,7 +100,7 @@
     let charge = QuotaAmount::of_job(1, 2.0, 0.0, 0.0);
     let started_at = Instant::now();
     for number in 0..DECISIONS {
-        // The step has no common divisor with the number of teams, so it visits all of them, out of order.
+        // The step is coprime to the number of teams, so it visits all of them, out of order.
         let team = &names[number as usize * 7919 % teams];
         let decision = admissions.decide(&ledger, "j-1", team, charge, 0.0);
         let Decision::Admitted(attempt) = black_box(decision) else {
--- a/crates/loadtest/src/controllers.rs
+++ b/crates/loadtest/src/controllers.rs
@@ -13,7 +13,8 @@
 /// Response of the fake cloud to a request for its machine types.
 const MACHINE_TYPES: &str = r#"{"Rigs":[{"Name":"small","Cores":64,"Gpus":0,"MemoryGb":512,"CacheGb":50,
     "PullGbPerS":1.0,"Rate":0.8,"SpotPrice":0.2,"ReadyS":30,"Yards":["z0","z1","z2"]}]}"#;
-/// Number of loopback address ranges. Two processes use the same range if their process ids differ by a multiple of it.
+/// Number of loopback address ranges. The process id selects the range of a process, so two processes share a range if
+/// their ids differ by a multiple of this number.
 const ADDRESS_RANGES: u32 = 250;
 /// Timeout of a readiness request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
@@ -38,15 +39,16 @@
 pub struct Controllers {
     setup: ControllerSetup,
     user_addresses: Vec<SocketAddr>,
-    /// By controller; `None` while the process is not running.
+    /// By controller; `None` before the first start and after [`Controllers::kill`].
     processes: Vec<Option<Child>>,
 }
 
 /// Number of loopback addresses that this process has allocated.
 static ALLOCATED_ADDRESSES: AtomicU16 = AtomicU16::new(0);
 
-/// Returns a free port on a loopback address that no other process uses. On 127.0.0.1, an outgoing connection of
-/// another process could occupy the port after it was found free and before the controller listens on it.
+/// Returns a free port on a loopback address from the range of this process, which other processes do not use for
+/// outgoing connections. On 127.0.0.1, such a connection could occupy the port after it was found free and before the
+/// controller listens on it.
 fn free_address() -> io::Result<SocketAddr> {
     let number = ALLOCATED_ADDRESSES.fetch_add(1, Ordering::Relaxed);
     let [high, low] = number.to_be_bytes();
@@ -71,7 +73,7 @@
 }
 
 impl Controllers {
-    /// Writes the settings files and starts all controllers against a state service and a fake cloud.
+    /// Writes the settings and features files and starts all controllers against a state service and a fake cloud.
     pub fn start(setup: ControllerSetup, state: SocketAddr) -> io::Result<Self> {
         let cloud = start_cloud()?;
         let mut user_addresses = Vec::new();
@@ -176,8 +178,8 @@
                         format!("controller at {address} was not ready within {timeout:?}"),
                     ));
                 }
-                // Readiness depends on records that one of the controllers writes to the store. The condition is never
-                // true, so this pauses for the whole interval.
+                // One of the controllers still has to write the records that readiness depends on. The condition is
+                // never true, so this pauses for the whole interval.
                 state.wait_until(POLL_INTERVAL, |_| false);
             }
         }
--- a/crates/loadtest/src/http.rs
+++ b/crates/loadtest/src/http.rs
@@ -23,7 +23,7 @@
 /// The status and the body of a response.
 pub type Response = (u16, String);
 
-/// The parsed head of a message. Lengths are in bytes.
+/// The parsed head of a message. Lengths are in bytes; `value` is the request line or the response status.
 struct MessageHead<T> {
     head_length: usize,
     body_length: usize,
@@ -82,13 +82,13 @@
 fn parse_request(bytes: &[u8]) -> io::Result<Option<MessageHead<RequestLine>>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    let httparse::Status::Complete(head) = request.parse(bytes).map_err(malformed)? else {
+    let httparse::Status::Complete(head_length) = request.parse(bytes).map_err(malformed)? else {
         return Ok(None);
     };
     let method = request.method.unwrap_or_default().to_owned();
     let path = request.path.unwrap_or_default().to_owned();
     Ok(Some(MessageHead {
-        head_length: head,
+        head_length,
         body_length: content_length(request.headers)?,
         value: RequestLine { method, path },
     }))
@@ -97,12 +97,12 @@
 fn parse_response(bytes: &[u8]) -> io::Result<Option<MessageHead<u16>>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let httparse::Status::Complete(head) = response.parse(bytes).map_err(malformed)? else {
+    let httparse::Status::Complete(head_length) = response.parse(bytes).map_err(malformed)? else {
         return Ok(None);
     };
     let status = response.code.unwrap_or_default();
     Ok(Some(MessageHead {
-        head_length: head,
+        head_length,
         body_length: content_length(response.headers)?,
         value: status,
     }))
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -45,7 +45,7 @@
     /// Pause of a user after a submission that was not accepted, in milliseconds.
     #[arg(long, default_value_t = 50)]
     pause_ms: u64,
-    /// Number of submissions between restarts; each kills and restarts the next controller. 0 disables restarts.
+    /// Number of submissions after which the next controller in turn is killed and restarted. 0 disables restarts.
     #[arg(long, default_value_t = 0)]
     restart_every: u64,
 }
@@ -108,7 +108,7 @@
         users: args.users,
         jobs: args.jobs,
         cancel_probability: args.cancelled,
-        retry_pause: Duration::from_millis(args.pause_ms),
+        rejection_pause: Duration::from_millis(args.pause_ms),
         first_id: 1,
     };
     let mut restarts = 0;
@@ -137,7 +137,7 @@
     features
 }
 
-/// Returns the number of submissions with status 201, 429 and 503, and without a response.
+/// Returns a list of four counts of submissions: with status 201, 429 and 503, and without a response.
 fn response_counts(responses: &UserResponses) -> String {
     let counts = [201, 429, 503, 0].map(|status| responses.count(status).to_string());
     counts.join(", ")
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -9,7 +9,7 @@
 
 use crate::usage_history::UsagePoint;
 
-/// Why a plot can't be drawn.
+/// Error of a plot that cannot be drawn.
 pub type PlotError = DrawingAreaErrorKind<std::io::Error>;
 
 /// Width and height of the plot in pixels.
--- a/crates/loadtest/src/schemes.rs
+++ b/crates/loadtest/src/schemes.rs
@@ -1,6 +1,6 @@
-//! Simulates schemes that divide a quota limit among controllers, all with the same demand, in rounds of one heartbeat
-//! interval. The escrow scheme runs the production code of the `quota` crate against a store without latency. The other
-//! schemes are models of their rules.
+//! Simulates schemes that divide a quota limit among controllers. All schemes get the same demand, in rounds of one
+//! heartbeat interval. In the escrow scheme, each controller admits jobs from its own allotment. This scheme runs the
+//! production code of the `quota` crate against a store without latency; the others are models of their rules.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -43,6 +43,7 @@
     used: f64,
     /// By round: controller and CPUs of each job that ends in it.
     ends: BTreeMap<u32, Vec<(usize, f64)>>,
+    /// Its `used` is the sum over the rounds; [`Self::result`] turns it into the average.
     result: SchemeResult,
     rounds: u32,
 }
@@ -119,9 +120,9 @@
     accounting.result()
 }
 
-/// Keeps the usage in one counter in the store, which is rewritten for each admission and each job that ends. At most
-/// `writes_per_round` rewrites succeed in a round: of concurrent conditional writes only one succeeds, and the others
-/// retry after a round trip.
+/// Keeps the usage in one counter in the store, which is rewritten for each admission and each job that ends. In each
+/// round, `writes_per_round` rewrites succeed: of concurrent conditional writes only one succeeds, and the others
+/// retry after a round trip. Rewrites for ended jobs come first and all succeed; admissions get the remaining ones.
 pub fn shared_counter(rounds: &[Vec<Demand>], limit: f64, writes_per_round: usize) -> SchemeResult {
     let mut accounting = UsageAccounting::new(limit);
     for (round, demands) in (0..).zip(rounds) {
@@ -148,7 +149,7 @@
     supervisor: Supervisor,
 }
 
-/// The accounts of the escrow scheme. Every controller sees a change as soon as it is made.
+/// The accounts and controllers of the escrow scheme. Every controller sees a change as soon as it is made.
 struct Escrow {
     ledger: Ledger,
     revision: u64,
@@ -177,6 +178,7 @@
             writes: 0,
         };
         while escrow.supervise() {}
+        // The result counts no writes that set up the accounts.
         escrow.writes = 0;
         escrow
     }
@@ -200,7 +202,7 @@
         true
     }
 
-    /// Lets the supervisor on the first controller make one change. Returns whether it was applied.
+    /// Applies the next plan of the first controller's supervisor. Returns false if there is none or it was rejected.
     fn supervise(&mut self) -> bool {
         let first = &mut self.controllers[0];
         let plan = first
@@ -288,6 +290,7 @@
                         .ledger
                         .charge(&team, Some(&node), charge(demand.cpus));
                     let admissions = &mut escrow.controllers[index].admissions;
+                    // The charge stays in flight until the ledger includes it, which is already the case.
                     admissions.finish(&attempt, AttemptOutcome::MayBeApplied, now);
                     admissions.prune(&escrow.ledger, |_| true);
                     accounting.admit(round, *demand);
--- a/crates/loadtest/src/state_service.rs
+++ b/crates/loadtest/src/state_service.rs
@@ -14,7 +14,7 @@
 /// A committed change of one key.
 #[derive(Debug, Clone)]
 pub struct CommittedChange {
-    /// Revision of the store that the change created; changes of one transaction share it.
+    /// Store revision at which the change was made; the changes of one transaction share a revision.
     pub revision: u64,
     /// Time from the start of the service to the change.
     pub elapsed: Duration,
@@ -237,6 +237,7 @@
     }
 
     /// Applies all changes of a transaction under one revision, if every condition holds and every lease exists.
+    /// A condition with revision 0 requires that the key does not exist.
     fn commit_transaction(&self, body: &Value) -> Response {
         let empty = Vec::new();
         let conditions = body["If"].as_array().unwrap_or(&empty);
--- a/crates/loadtest/src/users.rs
+++ b/crates/loadtest/src/users.rs
@@ -30,8 +30,8 @@
     pub jobs: u64,
     /// Probability that an accepted job is cancelled right after its submission.
     pub cancel_probability: f64,
-    /// Pause of a user after a submission that was not accepted.
-    pub retry_pause: Duration,
+    /// Pause of a user between a submission that was not accepted and the next one.
+    pub rejection_pause: Duration,
     /// Number in the id of the first job; later jobs have consecutive numbers.
     pub first_id: u64,
 }
@@ -126,7 +126,7 @@
         // Sending fails only if the run was aborted and the receiver dropped.
         let _ = submitted.send(number);
         if !matches!(status, 200 | 201) {
-            std::thread::sleep(workload.retry_pause);
+            std::thread::sleep(workload.rejection_pause);
         }
         if status == 201 && rng.random_bool(workload.cancel_probability) {
             let path = format!("/v1/jobs/{id}/withdraw");
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -43,7 +43,7 @@
     assert!(!passes(LIST, &crashed));
 }
 
-/// The script rejects lists with incomplete entries and lists of more than three entries.
+/// The script rejects empty lists, lists with incomplete entries, and lists of more than three entries.
 #[test]
 fn lists_are_short_and_their_lines_complete() {
     assert!(!passes("", RUN));
--- a/tests/quota_under_load.rs
+++ b/tests/quota_under_load.rs
@@ -13,8 +13,8 @@
 const LIMIT_CPUS: f64 = 40.0;
 const QUOTAS: &str = "[quota]\ntotal = { cpus = 60 }\n\
     [[quota.teams]]\nname = \"team\"\nguaranteed = { cpus = 10 }\nlimit = { cpus = 40 }\n";
-/// Timeout for conditions that tests wait for. It is generous for the sake of busy machines; a wait ends as soon as its
-/// condition holds.
+/// Timeout for conditions that tests wait for, long enough for a busy machine. A wait ends as soon as its condition
+/// holds.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(120);
 /// Time for clients to connect to a paused controller. If it is too short, the test covers less, but it does not fail.
 const CONNECT_TIME: Duration = Duration::from_millis(500);
@@ -56,7 +56,7 @@
         users: 12,
         jobs: 300,
         cancel_probability: 0.3,
-        retry_pause: Duration::ZERO,
+        rejection_pause: Duration::ZERO,
         first_id: 1,
     };
     let mut restarted = false;
@@ -105,7 +105,7 @@
         users: 4,
         jobs: 40,
         cancel_probability: 0.0,
-        retry_pause: Duration::ZERO,
+        rejection_pause: Duration::ZERO,
         first_id,
     };
     let leader = leader_index(&state);
@@ -125,6 +125,7 @@
             .rev()
             .find(|change| change.key.ends_with(&key));
         let record = last.and_then(|change| change.value.as_ref());
+        // Incarnation 0: no process admits from the allotment. Only the 4 CPUs of the two admitted jobs are left in it.
         record.is_some_and(|record| record["incarnation"] == 0 && record["size"]["c"] == 4000)
     });
     assert!(reclaimed, "the allotment was never reclaimed");
@@ -132,12 +133,12 @@
         .filter(|index| *index != paused)
         .map(|index| addresses[index])
         .collect();
-    // The other controllers admit jobs until the limit is used up.
+    // The other controllers get more jobs than fit into the limit.
     for round in 1..=5 {
         run_users(&workload(&other_addresses, round * 1000), |_| ());
     }
-    // Submissions are already queued when the controller resumes, so it handles them before it has received the changes
-    // from the store.
+    // Submissions are already queued when the controller resumes, so that it handles them before it receives the
+    // changes from the store.
     let queued_workload = Workload {
         users: 20,
         ..workload(&addresses[paused..=paused], 6000)
