--- a/crates/loadtest/src/lib.rs
+++ b/crates/loadtest/src/lib.rs
@@ -1,5 +1,7 @@
-//! Real controllers on loopback under load: thousands of submissions at once, processes killed and started again,
-//! against fakes of the state service and the cloud. What was stored is checked afterwards by its history.
+//! Load tests of real controller processes on loopback, against fakes of the state service and the cloud. Users submit
+//! thousands of jobs concurrently while controllers are killed and restarted. Afterwards, the history of the state
+//! service is checked: the quotas must have been kept. [`schemes`] is a simulation without processes, which compares
+//! ways to divide a quota among controllers.
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
