--- a/src/controller/tests/faults.rs
+++ b/src/controller/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Two faults at once, each injected in its order, against whole controllers in memory. The guard against each is
-//! listed in docs/design.md.
+//! Scenarios with one fault, or two that overlap, injected in a fixed order into a cluster of whole controllers in
+//! memory. docs/design.md lists the guard against each.
 
 mod cancellations;
 mod late_messages;
@@ -23,7 +23,7 @@
 use crate::store::records::{EndRecord, JobEnd};
 use crate::test_support::job;
 
-/// A job whose tasks run for `run_s`.
+/// A job whose tasks run for `run_s` seconds.
 fn long_job(id: &str, tasks: u32, run_s: f64) -> Submission {
     Submission {
         estimate_s: run_s,
@@ -31,7 +31,7 @@
     }
 }
 
-/// A job of the team that has a limit.
+/// Like [`long_job`], but for the team that has a limit.
 fn limited_job(id: &str, tasks: u32, run_s: f64) -> Submission {
     Submission {
         team: "red".into(),
@@ -39,17 +39,18 @@
     }
 }
 
-/// The state service rejects the leader alone, a cancellation is confirmed by another controller, then the service is
-/// out for longer than `cancel_s` while the workers send their heartbeats to the old leader all along.
+/// Guards against an old leader that keeps the tasks of a cancelled job running. The state service rejects the
+/// leader's requests only, so the leader does not see the cancellation that another controller confirms. Then the
+/// service is down for longer than `cancel_s`, while the workers keep sending heartbeats to the old leader.
 #[test]
-fn a_cancellation_unseen_by_a_rejected_leader_stops_its_tasks_in_time() {
+fn cancelled_tasks_stop_in_time_when_the_leader_cannot_see_the_cancellation() {
     for slow_s in [0.0, 0.2] {
         run_scenario(default_settings, async move |world: Rc<World>| {
             start_cluster(&world, 4).await;
             submit_and_wait_until_running(&world, &long_job("j-1", 8, 400.0)).await;
             submit_and_wait_until_running(&world, &long_job("j-2", 4, 30.0)).await;
-            for line in &world.state.links {
-                line.slow_s.set(slow_s);
+            for link in &world.state.links {
+                link.slow_s.set(slow_s);
             }
             world.state.refuse(0, 14.0);
             world.run(1.0).await;
@@ -58,10 +59,10 @@
                 JobState::Cancelled
             );
             world.run(0.5).await;
-            let out_s = world.config.deployment.workers.cancel_s + 20.0;
-            world.state.outage(out_s);
+            let outage_s = world.config.deployment.workers.cancel_s + 20.0;
+            world.state.outage(outage_s);
             for _ in 0..15 {
-                world.run(out_s / 15.0).await;
+                world.run(outage_s / 15.0).await;
                 world.query_all_nodes("j-1").await;
                 world.query_all_nodes("j-2").await;
             }
@@ -72,9 +73,10 @@
     }
 }
 
-/// The leader's lease is renewed all along, but its watch brings no changes any more.
+/// Guards against a leader that acts on an outdated replica. Its lease is still renewed, but its watch delivers no
+/// more changes, so that it does not see a cancellation.
 #[test]
-fn a_leader_with_a_stalled_watch_does_not_keep_cancelled_tasks() {
+fn a_leader_with_a_stalled_watch_steps_down_and_cancelled_tasks_stop() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 4).await;
         submit_and_wait_until_running(&world, &long_job("j-1", 8, 400.0)).await;
@@ -84,7 +86,7 @@
             world.cancel_until_confirmed(1, "j-1").await,
             JobState::Cancelled
         );
-        // It answers nothing that rests on changes that it can't know, and steps down.
+        // The leader gives no answers that depend on the missing changes, and steps down.
         world.run(world.config.leader_lease_s()).await;
         assert!(!world.is_acting_leader(0));
         wait_for_new_leader(&world, 0).await;
@@ -94,18 +96,19 @@
     });
 }
 
-/// A leader can't reach the state service and the other controllers, while workers and users still reach it.
+/// Guards against a partitioned leader that goes on acting: the state service rejects its requests for two minutes,
+/// while workers and users still reach it. Another controller is elected and confirms a cancellation.
 #[test]
-fn a_leader_partitioned_from_store_and_peers_breaks_no_rule() {
+fn a_leader_cut_off_from_the_store_stops_acting_and_a_new_leader_takes_over() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 4).await;
         submit_and_wait_until_running(&world, &long_job("j-1", 6, 400.0)).await;
         submit_and_wait_until_running(&world, &long_job("j-2", 4, 60.0)).await;
         world.state.refuse(0, 120.0);
-        let next = wait_for_new_leader(&world, 0).await;
+        let new_leader = wait_for_new_leader(&world, 0).await;
         assert!(!world.is_acting_leader(0));
         assert_eq!(
-            world.cancel_until_confirmed(next, "j-1").await,
+            world.cancel_until_confirmed(new_leader, "j-1").await,
             JobState::Cancelled
         );
         for _ in 0..20 {
@@ -118,9 +121,10 @@
     });
 }
 
-/// Jobs are cancelled in the seconds of a failover, by a crash and by resigning.
+/// Guards against a cancellation that is lost in a failover, and so leaves tasks running. Half of the jobs are
+/// cancelled while the leader resigns, the others right after its successor has crashed.
 #[test]
-fn cancellations_during_a_failover_hold() {
+fn cancellations_during_a_failover_are_not_lost() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 6).await;
         let ids: Vec<String> = (1..=8).map(|i| format!("j-{i}")).collect();
@@ -132,14 +136,14 @@
             world.run(0.3).await;
             world.cancel_until_confirmed(1, id).await;
         }
-        let next = wait_for_new_leader(&world, 0).await;
-        world.kill(next);
-        let live = (next + 1) % NODES;
+        let new_leader = wait_for_new_leader(&world, 0).await;
+        world.kill(new_leader);
+        let running_node = (new_leader + 1) % NODES;
         for id in &ids[4..] {
             world.run(0.8).await;
-            world.cancel_until_confirmed(live, id).await;
+            world.cancel_until_confirmed(running_node, id).await;
         }
-        world.start(next);
+        world.start(new_leader);
         world
             .run(world.config.deployment.workers.cancel_s + 5.0)
             .await;
@@ -148,8 +152,8 @@
     });
 }
 
-/// Settings under which tasks are launched by direct commands.
-fn direct_launches(config: &mut Config) {
+/// Sets an objective on the wait time, under which tasks are launched by direct commands.
+fn enable_direct_launches(config: &mut Config) {
     config.deployment.objectives[0].kind = crate::config::ObjectiveKind::Wait;
     config.deployment.objectives[0].within_s = Some(1.0);
 }
@@ -157,24 +161,28 @@
 /// Submits a job and waits until all its tasks run.
 async fn submit_and_wait_until_running(world: &Rc<World>, spec: &Submission) {
     world.submit_until_accepted(1, spec).await;
-    let all = spec.tasks as usize;
+    let task_count = spec.tasks as usize;
     world
-        .wait_until("running", 30.0, || world.tasks_on_machines(&spec.id) == all)
+        .wait_until("running", 30.0, || {
+            world.tasks_on_machines(&spec.id) == task_count
+        })
         .await;
 }
 
-async fn wait_for_new_leader(world: &World, than: usize) -> usize {
-    let other = || world.leader().filter(|l| *l != than);
+/// Waits until a controller other than `old_leader` leads, and returns its index.
+async fn wait_for_new_leader(world: &World, old_leader: usize) -> usize {
+    let new_leader = || world.leader().filter(|leader| *leader != old_leader);
     world
-        .wait_until("led by another", 60.0, || other().is_some())
+        .wait_until("led by another controller", 60.0, || new_leader().is_some())
         .await;
-    other().unwrap()
+    new_leader().unwrap()
 }
 
-/// A worker on which tasks of a job are.
+/// A worker that has tasks of the job `id`.
 fn worker_running(world: &World, id: &str) -> Rc<Worker> {
-    let all = world.all_workers();
-    all.into_iter()
-        .find(|k| !k.tasks_of(id).is_empty())
+    let workers = world.all_workers();
+    workers
+        .into_iter()
+        .find(|worker| !worker.tasks_of(id).is_empty())
         .unwrap()
 }
--- a/src/controller/tests/faults/cancellations.rs
+++ b/src/controller/tests/faults/cancellations.rs
@@ -1,17 +1,18 @@
-//! Cancellations that race the leader's commands.
+//! Cancellations that race with the leader's commands.
 
 use super::*;
 
-/// Between the round that decides a direct launch and the connection on which it is sent, its job is cancelled and
-/// the leader knows that.
+/// Guards against a launch that is sent although the leader knows that the job is cancelled. Connections to the
+/// workers take long, so that the cancellation arrives after the leader has decided on a direct launch, but before
+/// the connection for sending it is established.
 #[test]
-fn no_task_starts_once_the_cancellation_is_known() {
-    run_scenario(direct_launches, async |world: Rc<World>| {
+fn no_task_starts_after_its_cancellation_is_known() {
+    run_scenario(enable_direct_launches, async |world: Rc<World>| {
         start_cluster(&world, 4).await;
         world.run(6.0).await;
-        for k in world.all_workers() {
-            let at = k.fake.borrow().heartbeat.addr.parse().unwrap();
-            world.runtime.slow_connections(at, 0.6);
+        for worker in world.all_workers() {
+            let address = worker.fake.borrow().heartbeat.addr.parse().unwrap();
+            world.runtime.slow_connections(address, 0.6);
         }
         for i in 0..10 {
             let id = format!("j-{i}");
--- a/src/controller/tests/faults/late_messages.rs
+++ b/src/controller/tests/faults/late_messages.rs
@@ -1,71 +1,74 @@
-//! Delayed messages.
+//! Heartbeats, commands and replies that are delayed.
 
 use super::*;
 
-/// A heartbeat is delayed until a new leader has acted, and then arrives there; others reach every controller just as
-/// its term begins. Nothing else was received from those machines yet.
+/// Guards against a new leader that trusts outdated heartbeats: it would release tasks that still run, or count
+/// their machines as free. Heartbeats sent before the machines got tasks reach every controller just as the new term
+/// begins and shortly after; the new leader has received nothing else from those machines.
 #[test]
-fn heartbeats_delayed_until_the_next_leader_free_and_open_nothing() {
+fn heartbeats_delayed_into_the_next_term_release_no_tasks_and_free_no_capacity() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 8).await;
-        // Heartbeats from before anything ran there.
-        let far: Vec<_> = world.all_workers().into_iter().take(4).collect();
-        let last = |k: &Rc<Worker>| k.sent_heartbeats.borrow().last().unwrap().clone();
-        let empty: Vec<_> = far.iter().map(last).collect();
+        // Heartbeats that were sent before any task ran on these machines.
+        let silent_workers: Vec<_> = world.all_workers().into_iter().take(4).collect();
+        let last_heartbeat =
+            |worker: &Rc<Worker>| worker.sent_heartbeats.borrow().last().unwrap().clone();
+        let old_heartbeats: Vec<_> = silent_workers.iter().map(last_heartbeat).collect();
         submit_and_wait_until_running(&world, &long_job("j-1", 16, 60.0)).await;
         world.run(2.0).await;
-        for k in &far {
-            // The new leader receives nothing from them but the copies; other machines have room.
-            k.heartbeats_blocked_until.set(world.now() + 14.0);
-            k.commands_held_until.set(world.now() + 14.0);
+        for worker in &silent_workers {
+            // The new leader receives only the old heartbeats from these machines; others have free capacity.
+            worker.heartbeats_blocked_until.set(world.now() + 14.0);
+            worker.commands_held_until.set(world.now() + 14.0);
         }
         world.kill(0);
-        let mut leads = false;
+        let mut led_before = false;
         for _ in 0..200 {
-            let begun = world.leader().is_some();
-            if begun {
-                for heartbeat in &empty {
-                    join_all((1..NODES).map(|at| world.deliver_heartbeat(at, heartbeat))).await;
+            let has_leader = world.leader().is_some();
+            if has_leader {
+                for heartbeat in &old_heartbeats {
+                    join_all((1..NODES).map(|node| world.deliver_heartbeat(node, heartbeat))).await;
                 }
             }
-            if begun && leads {
+            if has_leader && led_before {
                 break;
             }
-            leads = begun;
+            led_before = has_leader;
             world.run(0.1).await;
         }
-        assert!(leads);
+        assert!(led_before);
         world.run(20.0).await;
         world.start(0);
         world.wait_for_all_jobs(300.0).await;
     });
 }
 
-/// Old heartbeats arrive after newer ones, also from an earlier agent epoch or attempt, and at every controller.
+/// Guards against decisions based on outdated heartbeats. Old ones, some of them from an earlier agent epoch or
+/// attempt, arrive at every controller after newer ones.
 #[test]
-fn stale_heartbeats_after_newer_ones_change_nothing() {
+fn outdated_heartbeats_after_newer_ones_are_ignored() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 8).await;
         world.run(4.0).await;
         submit_and_wait_until_running(&world, &long_job("j-1", 12, 60.0)).await;
-        let mut turn = 0;
+        let mut heartbeat_index = 0;
         for step in 0..40 {
             if step == 6 {
-                // An agent epoch ends: its tasks are restarted elsewhere.
+                // The agent epoch ends with its lease, and the tasks are restarted on other machines.
                 world.all_workers()[0]
                     .heartbeats_blocked_until
                     .set(world.now() + 24.0);
             }
-            // One machine at a time: the others could be given the tasks that it seems to have lost.
-            let all = world.all_workers();
-            for k in [&all[step / 2 % all.len()]] {
-                let sent_heartbeats = k.sent_heartbeats.borrow().clone();
-                turn = (turn * 31 + 7) % 1009;
+            // One machine at a time, as the others must be able to take the tasks that it seems to have lost.
+            let workers = world.all_workers();
+            for worker in [&workers[step / 2 % workers.len()]] {
+                let sent_heartbeats = worker.sent_heartbeats.borrow().clone();
+                heartbeat_index = (heartbeat_index * 31 + 7) % 1009;
                 for old in [
                     &sent_heartbeats[0],
-                    &sent_heartbeats[turn % sent_heartbeats.len()],
+                    &sent_heartbeats[heartbeat_index % sent_heartbeats.len()],
                 ] {
-                    join_all((0..NODES).map(|at| world.deliver_heartbeat(at, old))).await;
+                    join_all((0..NODES).map(|node| world.deliver_heartbeat(node, old))).await;
                 }
             }
             world.run(1.0).await;
@@ -74,28 +77,29 @@
     });
 }
 
-/// A command or its reply is delayed for seconds, and the machine then continues.
+/// Guards against tasks that start twice, or after their cancellation, because commands or their replies are delayed
+/// for many seconds. The machines also hang for some of that time and then continue.
 #[test]
-fn delayed_commands_start_nothing_twice_and_nothing_cancelled() {
+fn delayed_commands_start_no_task_twice_and_no_cancelled_task() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 4).await;
         for round in 0..4 {
-            let held: Vec<_> = world
+            let delayed: Vec<_> = world
                 .all_workers()
                 .into_iter()
                 .skip(round % 2)
                 .take(2)
                 .collect();
-            for k in &held {
-                k.commands_held_until.set(world.now() + 25.0);
+            for worker in &delayed {
+                worker.commands_held_until.set(world.now() + 25.0);
             }
             let id = format!("j-{round}");
             let mut spec = long_job(&id, 16, 10.0);
             spec.priority = Priority::High;
             world.submit_until_accepted(1, &spec).await;
             world.run(2.0).await;
-            for k in &held {
-                k.hung_until.set(world.now() + 8.0);
+            for worker in &delayed {
+                worker.hung_until.set(world.now() + 8.0);
             }
             world.run(1.0).await;
             if round % 2 == 0 {
@@ -107,42 +111,47 @@
     });
 }
 
-/// A direct launch is delayed for longer than `cancel_s`, its job is cancelled, and the cloud can't return the
-/// machine: its worker's lease must expire, or the launch would start the task then.
+/// Guards against a task that starts after its cancellation. Its direct launch is delayed for longer than `cancel_s`,
+/// and the cloud can't return the machine. The worker's lease must expire, or the delayed launch starts the task.
 #[test]
 fn a_delayed_launch_of_a_cancelled_job_never_starts_during_a_cloud_outage() {
-    run_scenario(direct_launches, async |world: Rc<World>| {
+    run_scenario(enable_direct_launches, async |world: Rc<World>| {
         start_cluster(&world, 2).await;
         world.run(6.0).await;
-        let held_s = 2.0 * world.config.deployment.workers.cancel_s;
-        for k in world.all_workers() {
-            k.commands_held_until.set(world.now() + held_s);
+        let delay_s = 2.0 * world.config.deployment.workers.cancel_s;
+        for worker in world.all_workers() {
+            worker.commands_held_until.set(world.now() + delay_s);
         }
         world
             .submit_until_accepted(1, &long_job("j-1", 8, 300.0))
             .await;
         world.run(2.5).await;
-        world.cloud.outage_until.set(world.now() + held_s);
+        world.cloud.outage_until.set(world.now() + delay_s);
         world.cancel_until_confirmed(1, "j-1").await;
-        world.run(held_s + 10.0).await;
+        world.run(delay_s + 10.0).await;
         assert_eq!(world.tasks_on_machines("j-1"), 0);
         world.wait_for_all_jobs(100.0).await;
     });
 }
 
-/// Workers can't connect to any controller, while direct commands still reach them.
+/// Guards against tasks on machines that can't report. The workers can't connect to any controller, so their leases
+/// expire, while direct commands from the leader still reach them.
 #[test]
-fn machines_reachable_by_direct_commands_only_get_no_tasks_and_lose_theirs_once() {
+fn machines_that_only_direct_commands_reach_lose_their_tasks_and_get_no_new_ones() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 4).await;
         submit_and_wait_until_running(&world, &long_job("j-1", 16, 40.0)).await;
         let blocked: Vec<_> = world.all_workers().into_iter().take(2).collect();
-        for k in &blocked {
-            k.heartbeats_blocked_until.set(world.now() + 60.0);
+        for worker in &blocked {
+            worker.heartbeats_blocked_until.set(world.now() + 60.0);
         }
         world.run(30.0).await;
-        // Their leases have expired, and nothing new was started there.
-        assert!(blocked.iter().all(|k| k.tasks_of("j-1").is_empty()));
+        // The leases of these workers have expired, and no task was started on them since.
+        assert!(
+            blocked
+                .iter()
+                .all(|worker| worker.tasks_of("j-1").is_empty())
+        );
         world.wait_for_all_jobs(300.0).await;
     });
 }
--- a/src/controller/tests/faults/limits_and_zones.rs
+++ b/src/controller/tests/faults/limits_and_zones.rs
@@ -2,11 +2,12 @@
 
 use super::*;
 
-/// Every team is at its limit, jobs are cancelled whose machines are partitioned or hang, and a failover follows: to
-/// a controller that has loaded the store anew, in which a job's end comes before the job.
+/// Guards against a team that exceeds its limit because cancelled tasks are released while they still run. The team
+/// is at its limit, its job is cancelled while some of its machines hang or can't send heartbeats, and a failover
+/// follows. A restarted controller loads the store again, where the record of a job's end precedes that of the job.
 #[test]
-fn cancelled_tasks_count_until_off_the_machine_across_failovers() {
-    for back_at_once in [false, true] {
+fn cancelled_tasks_are_charged_until_off_the_machine_across_failovers() {
+    for restart_all in [false, true] {
         run_scenario(default_settings, async move |world: Rc<World>| {
             start_cluster(&world, 8).await;
             submit_and_wait_until_running(&world, &limited_job("j-1", 20, 300.0)).await;
@@ -16,8 +17,8 @@
             world.run(3.0).await;
             assert_eq!(world.tasks_on_machines("j-2"), 0);
             let stuck: Vec<_> = world.all_workers().into_iter().take(3).collect();
-            for k in &stuck {
-                k.hung_until.set(world.now() + 15.0);
+            for worker in &stuck {
+                worker.hung_until.set(world.now() + 15.0);
             }
             stuck[0].heartbeats_blocked_until.set(world.now() + 60.0);
             world.run(0.3).await;
@@ -26,14 +27,14 @@
                 JobState::Cancelled
             );
             world.run(1.0).await;
-            if back_at_once {
-                // Only processes that loaded the store anew can lead.
-                for at in 0..NODES {
-                    world.kill(at);
+            if restart_all {
+                // All processes restart, so that the next leader has loaded the store again.
+                for node in 0..NODES {
+                    world.kill(node);
                 }
                 world.run(0.2).await;
-                for at in 0..NODES {
-                    world.start(at);
+                for node in 0..NODES {
+                    world.start(node);
                 }
                 world
                     .wait_until("led", 30.0, || world.leader().is_some())
@@ -48,10 +49,11 @@
     }
 }
 
-/// A team is at its limit during a failover, some of its machines are unreachable, and a cancellation falls into that
-/// time.
+/// Guards against a new leader that lets a team exceed its limit because it can't see all running tasks. The team is
+/// at its limit during a failover, a job is cancelled then, and some of its machines don't receive replies or can't
+/// be reached.
 #[test]
-fn a_limit_holds_while_machines_are_unreachable() {
+fn a_team_limit_holds_while_machines_are_unreachable_in_a_failover() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 8).await;
         submit_and_wait_until_running(&world, &limited_job("j-1", 10, 60.0)).await;
@@ -59,14 +61,14 @@
         world
             .submit_until_accepted(1, &limited_job("j-3", 20, 20.0))
             .await;
-        let asked: Vec<_> = world.all_workers().into_iter().take(4).collect();
-        for (i, k) in asked.iter().enumerate() {
+        let unreachable: Vec<_> = world.all_workers().into_iter().take(4).collect();
+        for (i, worker) in unreachable.iter().enumerate() {
             let until = world.now() + 30.0;
             if i % 2 == 0 {
-                k.replies_lost_until.set(until);
+                worker.replies_lost_until.set(until);
             } else {
-                k.heartbeats_blocked_until.set(until);
-                k.commands_held_until.set(until);
+                worker.heartbeats_blocked_until.set(until);
+                worker.commands_held_until.set(until);
             }
         }
         world.kill(0);
@@ -82,26 +84,30 @@
     });
 }
 
-/// Jobs restricted to one zone, by name or by their tasks, arrays too, lose machines that still run them.
+/// Guards against zone constraints that are violated when tasks are restarted. Jobs that must be in a named zone, in
+/// any single zone, or spread over zones lose machines that run their tasks, and the leader crashes. The
+/// jobs are arrays: the constraints hold for these as for gangs.
 #[test]
-fn single_zone_jobs_that_lose_machines_stay_in_their_zone() {
+fn jobs_with_zone_constraints_keep_them_when_machines_are_lost() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 8).await;
-        let mut named = long_job("j-1", 6, 30.0);
-        named.zone = Some("south".into());
-        let mut together = long_job("j-2", 6, 30.0);
-        together.one_zone = true;
+        let mut in_named_zone = long_job("j-1", 6, 30.0);
+        in_named_zone.zone = Some("south".into());
+        let mut in_one_zone = long_job("j-2", 6, 30.0);
+        in_one_zone.one_zone = true;
         let mut spread = long_job("j-3", 4, 30.0);
         spread.spread = true;
-        for spec in [&named, &together, &spread] {
+        for spec in [&in_named_zone, &in_one_zone, &spread] {
             submit_and_wait_until_running(&world, spec).await;
         }
-        let lost = worker_running(&world, "j-1");
-        world.remove(&lost.name);
-        let hangs = worker_running(&world, "j-2");
-        hangs.hung_until.set(world.now() + 18.0);
-        let blocked = worker_running(&world, "j-3");
-        blocked.heartbeats_blocked_until.set(world.now() + 60.0);
+        let lost_worker = worker_running(&world, "j-1");
+        world.remove(&lost_worker.name);
+        let hung_worker = worker_running(&world, "j-2");
+        hung_worker.hung_until.set(world.now() + 18.0);
+        let blocked_worker = worker_running(&world, "j-3");
+        blocked_worker
+            .heartbeats_blocked_until
+            .set(world.now() + 60.0);
         world.kill(0);
         world.run(10.0).await;
         world.start(0);
@@ -109,13 +115,14 @@
     });
 }
 
-/// More tasks than capacity, urgent and not, while the state service is slow.
+/// Guards against jobs that are never run when an arrival burst of all priorities exceeds the capacity while the
+/// state service is slow.
 #[test]
-fn a_burst_with_a_slow_store_is_fully_served() {
+fn an_arrival_burst_with_a_slow_store_is_completed() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 4).await;
-        for line in &world.state.links {
-            line.slow_s.set(0.25);
+        for link in &world.state.links {
+            link.slow_s.set(0.25);
         }
         for i in 0..12 {
             let mut spec = long_job(&format!("j-{i}"), 12, 8.0);
--- a/src/controller/tests/faults/users.rs
+++ b/src/controller/tests/faults/users.rs
@@ -1,11 +1,11 @@
-//! Answers to users.
+//! Replies to users' requests.
 
 use super::*;
 
-/// Users query all nodes, again and again within milliseconds, and repeat the submission, right after a job was
-/// accepted, ended or confirmed as cancelled; some cancel at once.
+/// Guards against a reply that is older than one given before by another node. Users query all nodes every 0.12 s and
+/// repeat the submission, from when a job is accepted or its cancellation is confirmed until after its end.
 #[test]
-fn concurrent_queries_at_all_nodes_never_go_back() {
+fn concurrent_queries_at_all_nodes_never_show_an_older_state() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 4).await;
         for i in 0..15 {
@@ -29,9 +29,10 @@
     });
 }
 
-/// A cancellation, a query or a repeated submission races the end of a job's last task.
+/// Guards against a job that is reported as done to one user and as cancelled to another: a cancellation, queries and
+/// repeated submissions race with the end of the job's last task.
 #[test]
-fn a_cancellation_racing_the_last_completion_has_one_outcome() {
+fn a_cancellation_racing_with_the_last_completion_has_one_outcome() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 6).await;
         let mut outcomes = Vec::new();
@@ -56,14 +57,15 @@
     });
 }
 
-/// The end of a job is stored between a cancellation's read and its own write: done stays done.
+/// Guards against a cancellation that replaces the stored end of a job. The end is stored after the cancellation has
+/// read the job and before it writes; the job must stay done.
 #[test]
 fn a_cancellation_after_the_stored_end_does_not_replace_it() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 2).await;
         submit_and_wait_until_running(&world, &long_job("j-1", 1, 60.0)).await;
         world.state.links[1].slow_s.set(0.3);
-        let ends = async {
+        let store_job_end = async {
             world.run(0.45).await;
             world.checks.on_task_completed("j-1/0");
             let record = EndRecord {
@@ -81,21 +83,23 @@
                 changes: vec![put],
             });
         };
-        let (reply, ()) = futures_util::future::join(world.cancel(1, "j-1"), ends).await;
+        let (reply, ()) = futures_util::future::join(world.cancel(1, "j-1"), store_job_end).await;
         assert_eq!(reply, (200, Some(JobState::Done)));
-        let all = world.query_all_nodes("j-1").await;
+        let replies = world.query_all_nodes("j-1").await;
         assert!(
-            all.iter()
+            replies
+                .iter()
                 .all(|reply| *reply == (200, Some(JobState::Done))),
-            "{all:?}"
+            "{replies:?}"
         );
         world.wait_for_all_jobs(60.0).await;
     });
 }
 
-/// Four one-task jobs a second for minutes, a quarter of them cancelled.
+/// Guards against jobs that are never run in a long stream of one-task jobs, submitted a fifth of a second apart, a
+/// quarter of which is cancelled.
 #[test]
-fn a_stream_of_small_jobs_with_cancellations_is_fully_served() {
+fn a_stream_of_small_jobs_with_cancellations_is_completed() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 10).await;
         for i in 0..600 {
@@ -112,8 +116,9 @@
     });
 }
 
-/// Malformed submissions and those that can never run are rejected at every node; a known job is answered with its
-/// state, whatever the repeat looks like.
+/// Guards against nodes that accept invalid requests or answer a request differently. Malformed submissions and jobs
+/// that can never run are rejected at every node; a repeated submission or cancellation of an ended job is answered
+/// with the job's state.
 #[test]
 fn invalid_and_repeated_requests_get_their_status_at_every_node() {
     run_scenario(default_settings, async |world: Rc<World>| {
@@ -122,59 +127,66 @@
         submit_and_wait_until_running(&world, &long_job("j-2", 1, 100.0)).await;
         world.cancel_until_confirmed(1, "j-2").await;
         world.run(8.0).await;
-        let good = serde_json::to_value(long_job("j-9", 2, 3.0)).unwrap();
-        let fields: Vec<String> = good.as_object().unwrap().keys().cloned().collect();
+        let valid = serde_json::to_value(long_job("j-9", 2, 3.0)).unwrap();
+        let fields: Vec<String> = valid.as_object().unwrap().keys().cloned().collect();
         let nullable = ["Rigs", "Yard", "DueS"];
-        for at in 0..NODES {
-            for field in fields.iter().filter(|f| !nullable.contains(&f.as_str())) {
-                let mut bad = good.clone();
-                bad.as_object_mut().unwrap().remove(field);
+        for node in 0..NODES {
+            for field in fields
+                .iter()
+                .filter(|field| !nullable.contains(&field.as_str()))
+            {
+                let mut invalid = valid.clone();
+                invalid.as_object_mut().unwrap().remove(field);
                 assert_eq!(
-                    world.post_submission(at, &bad.to_string()).await,
+                    world.post_submission(node, &invalid.to_string()).await,
                     400,
                     "without {field}"
                 );
-                bad[field] = serde_json::Value::Null;
+                invalid[field] = serde_json::Value::Null;
                 assert_eq!(
-                    world.post_submission(at, &bad.to_string()).await,
+                    world.post_submission(node, &invalid.to_string()).await,
                     400,
                     "{field} null"
                 );
             }
             for body in ["", "{", "[]", "17", "null", "\"j-9\""] {
-                assert_eq!(world.post_submission(at, body).await, 400, "{body}");
+                assert_eq!(world.post_submission(node, body).await, 400, "{body}");
             }
-            let never = |change: &dyn Fn(&mut Submission)| {
+            let impossible_job = |change: &dyn Fn(&mut Submission)| {
                 let mut spec = long_job("j-9", 2, 3.0);
                 change(&mut spec);
                 serde_json::to_string(&spec).unwrap()
             };
             for body in [
-                never(&|s| s.team = "nobody".into()),
-                never(&|s| s.cpus = 65.0),
-                never(&|s| s.types = Some(vec!["huge".into()])),
-                never(&|s| s.zone = Some("west".into())),
-                never(&|s| (s.team, s.kind, s.tasks) = ("red".into(), JobKind::Gang, 21)),
-                // At most half of the tasks in a zone, and one zone for all.
-                never(&|s| (s.kind, s.spread, s.one_zone) = (JobKind::Gang, true, true)),
-                never(&|s| {
-                    (s.kind, s.spread) = (JobKind::Gang, true);
-                    s.zone = Some("south".into());
+                impossible_job(&|spec| spec.team = "nobody".into()),
+                impossible_job(&|spec| spec.cpus = 65.0),
+                impossible_job(&|spec| spec.types = Some(vec!["huge".into()])),
+                impossible_job(&|spec| spec.zone = Some("west".into())),
+                impossible_job(&|spec| {
+                    (spec.team, spec.kind, spec.tasks) = ("red".into(), JobKind::Gang, 21)
+                }),
+                // A spread gang has at most half of its tasks in a zone, so a single zone can't hold it.
+                impossible_job(&|spec| {
+                    (spec.kind, spec.spread, spec.one_zone) = (JobKind::Gang, true, true)
+                }),
+                impossible_job(&|spec| {
+                    (spec.kind, spec.spread) = (JobKind::Gang, true);
+                    spec.zone = Some("south".into());
                 }),
             ] {
-                assert_eq!(world.post_submission(at, &body).await, 422, "{body}");
+                assert_eq!(world.post_submission(node, &body).await, 422, "{body}");
             }
-            assert_eq!(world.query(at, "j-9").await.0, 404);
-            assert_eq!(world.cancel(at, "j-9").await.0, 404);
-            assert_eq!(world.cancel(at, "j-1").await, (200, Some(JobState::Done)));
-            let again = world.submit(at, &long_job("j-1", 1, 3.0)).await;
-            assert_eq!(again, (200, Some(JobState::Done)));
+            assert_eq!(world.query(node, "j-9").await.0, 404);
+            assert_eq!(world.cancel(node, "j-9").await.0, 404);
+            assert_eq!(world.cancel(node, "j-1").await, (200, Some(JobState::Done)));
+            let repeated = world.submit(node, &long_job("j-1", 1, 3.0)).await;
+            assert_eq!(repeated, (200, Some(JobState::Done)));
             assert_eq!(
-                world.cancel(at, "j-2").await,
+                world.cancel(node, "j-2").await,
                 (200, Some(JobState::Cancelled))
             );
-            let again = world.submit(at, &long_job("j-2", 1, 100.0)).await;
-            assert_eq!(again, (200, Some(JobState::Cancelled)));
+            let repeated = world.submit(node, &long_job("j-2", 1, 100.0)).await;
+            assert_eq!(repeated, (200, Some(JobState::Cancelled)));
         }
         world.wait_for_all_jobs(60.0).await;
     });
--- a/src/controller/tests/faults/zones.rs
+++ b/src/controller/tests/faults/zones.rs
@@ -2,11 +2,12 @@
 
 use super::*;
 
-/// A zone with workers and a controller is partitioned for longer than the lease: its tasks are kept by a delegate
-/// there, or run elsewhere once they have surely ended; a cancellation reaches them in time.
+/// Guards against tasks that run twice, or that survive their cancellation, when a zone with workers and a controller
+/// is partitioned for longer than a lease. A delegate in the zone keeps its tasks running; without one, they run
+/// elsewhere, but only after the workers' leases have expired. A cancellation must reach them in time.
 #[test]
-fn a_zone_partitioned_for_longer_than_a_lease_runs_nothing_twice() {
-    for leader_ends in [false, true] {
+fn tasks_in_a_zone_partitioned_for_longer_than_a_lease_run_once() {
+    for leader_crashes in [false, true] {
         run_scenario(default_settings, async move |world: Rc<World>| {
             for i in 0..28 {
                 world.boot(["north", "south"][i % 2]);
@@ -17,9 +18,9 @@
             world.partition.set(("south", world.now() + 90.0));
             world.run(15.0).await;
             world.cancel_until_confirmed(0, "j-2").await;
-            let south = |k: &&Rc<Worker>| k.zone == "south";
-            if leader_ends {
-                // The controller in the south is kept from being elected by the state service for a moment.
+            let in_south = |worker: &&Rc<Worker>| worker.zone == "south";
+            if leader_crashes {
+                // The state service rejects the controller in the south for 8 s, so that it is not elected.
                 world.state.refuse(1, 8.0);
                 world.kill(0);
                 world
@@ -27,17 +28,27 @@
                     .await;
                 world.start(0);
             } else {
-                let all = world.all_workers();
-                assert!(!all.iter().filter(south).any(|k| k.has_lost_a_lease()));
+                let workers = world.all_workers();
+                assert!(
+                    !workers
+                        .iter()
+                        .filter(in_south)
+                        .any(|worker| worker.has_lost_a_lease())
+                );
             }
             world.run(world.config.deployment.workers.cancel_s).await;
             assert_eq!(world.tasks_on_machines("j-2"), 0);
             world.wait_for_all_jobs(400.0).await;
-            let over = |t: &TaskStatus| t.state == TaskState::Exited;
-            let all = world.all_workers();
+            let exited = |task: &TaskStatus| task.state == TaskState::Exited;
+            let workers = world.all_workers();
             assert!(
-                all.iter()
-                    .all(|k| k.fake.borrow().heartbeat.tasks.iter().all(over))
+                workers.iter().all(|worker| worker
+                    .fake
+                    .borrow()
+                    .heartbeat
+                    .tasks
+                    .iter()
+                    .all(exited))
             );
         });
     }
