--- a/src/controller/tests/faults.rs
+++ b/src/controller/tests/faults.rs
@@ -41,7 +41,8 @@
 
 /// Guards against an old leader that keeps the tasks of a cancelled job running. The state service rejects the
 /// leader's requests only, so the leader does not see the cancellation that another controller confirms. Then the
-/// service is down for longer than `cancel_s`, while the workers keep sending heartbeats to the old leader.
+/// service is down for longer than `cancel_s`, while the workers keep sending heartbeats to the old leader. The
+/// scenario runs with immediate and with slow replies of the state service.
 #[test]
 fn cancelled_tasks_stop_in_time_when_the_leader_cannot_see_the_cancellation() {
     for slow_s in [0.0, 0.2] {
@@ -96,8 +97,9 @@
     });
 }
 
-/// Guards against a partitioned leader that goes on acting: the state service rejects its requests for two minutes,
-/// while workers and users still reach it. Another controller is elected and confirms a cancellation.
+/// Guards against a leader that goes on acting although it can't reach the state service, which rejects its requests
+/// for two minutes. Workers, users and the other controllers still reach it: only its link to the state service is
+/// cut. Another controller is elected and confirms a cancellation.
 #[test]
 fn a_leader_cut_off_from_the_store_stops_acting_and_a_new_leader_takes_over() {
     run_scenario(default_settings, async |world: Rc<World>| {
--- a/src/controller/tests/faults/late_messages.rs
+++ b/src/controller/tests/faults/late_messages.rs
@@ -1,10 +1,10 @@
-//! Heartbeats, commands and replies that are delayed.
+//! Heartbeats and direct commands that are delayed or blocked.
 
 use super::*;
 
 /// Guards against a new leader that trusts outdated heartbeats: it would release tasks that still run, or count
-/// their machines as free. Heartbeats sent before the machines got tasks reach every controller just as the new term
-/// begins and shortly after; the new leader has received nothing else from those machines.
+/// their machines as free. Heartbeats sent before the machines got tasks reach every running controller just as the
+/// new term begins and shortly after; the new leader has received nothing else from those machines.
 #[test]
 fn heartbeats_delayed_into_the_next_term_release_no_tasks_and_free_no_capacity() {
     run_scenario(default_settings, async |world: Rc<World>| {
@@ -54,12 +54,13 @@
         let mut heartbeat_index = 0;
         for step in 0..40 {
             if step == 6 {
-                // The agent epoch ends with its lease, and the tasks are restarted on other machines.
+                // The worker's lease expires, which ends its agent epoch. Its tasks are restarted on other machines.
                 world.all_workers()[0]
                     .heartbeats_blocked_until
                     .set(world.now() + 24.0);
             }
-            // One machine at a time, as the others must be able to take the tasks that it seems to have lost.
+            // Old heartbeats come from one machine at a time: the others keep free capacity, so that a leader that
+            // wrongly takes the tasks of this machine as lost would start them there.
             let workers = world.all_workers();
             for worker in [&workers[step / 2 % workers.len()]] {
                 let sent_heartbeats = worker.sent_heartbeats.borrow().clone();
@@ -77,8 +78,8 @@
     });
 }
 
-/// Guards against tasks that start twice, or after their cancellation, because commands or their replies are delayed
-/// for many seconds. The machines also hang for some of that time and then continue.
+/// Guards against tasks that start twice, or after their cancellation, because direct commands are executed, and so
+/// answered, many seconds late. The machines also hang for some of that time and then continue.
 #[test]
 fn delayed_commands_start_no_task_twice_and_no_cancelled_task() {
     run_scenario(default_settings, async |world: Rc<World>| {
@@ -112,7 +113,8 @@
 }
 
 /// Guards against a task that starts after its cancellation. Its direct launch is delayed for longer than `cancel_s`,
-/// and the cloud can't return the machine. The worker's lease must expire, or the delayed launch starts the task.
+/// and the cloud can't return the machine. The worker's lease must expire before the launch arrives, or else the task
+/// starts.
 #[test]
 fn a_delayed_launch_of_a_cancelled_job_never_starts_during_a_cloud_outage() {
     run_scenario(enable_direct_launches, async |world: Rc<World>| {
@@ -137,7 +139,7 @@
 /// Guards against tasks on machines that can't report. The workers can't connect to any controller, so their leases
 /// expire, while direct commands from the leader still reach them.
 #[test]
-fn machines_that_only_direct_commands_reach_lose_their_tasks_and_get_no_new_ones() {
+fn machines_that_only_direct_commands_reach_lose_their_tasks_once_and_get_no_new_ones() {
     run_scenario(default_settings, async |world: Rc<World>| {
         start_cluster(&world, 4).await;
         submit_and_wait_until_running(&world, &long_job("j-1", 16, 40.0)).await;
--- a/src/controller/tests/faults/leader_changes.rs
+++ b/src/controller/tests/faults/leader_changes.rs
@@ -29,8 +29,8 @@
     });
 }
 
-/// Guards against jobs that get lost when all controllers lose their memory. The leader resigns twice, then all
-/// controllers crash, and the last leader is restarted alone within a second, twice.
+/// Guards against jobs that get lost when leadership moves repeatedly, and then no controller is left that has a
+/// replica. The leader resigns twice, all controllers crash, and the last leader restarts alone within a second, twice.
 #[test]
 fn repeated_failovers_and_a_full_restart_lose_no_job() {
     run_scenario(default_settings, async |world: Rc<World>| {
@@ -65,7 +65,7 @@
 }
 
 /// Guards against jobs that get lost when failovers follow each other quickly: ten crashes of the leader in two
-/// minutes, also during an outage of the state service.
+/// minutes, also during an outage of the state service. While no controller leads, any of them crashes instead.
 #[test]
 fn ten_failovers_in_two_minutes_lose_no_job() {
     run_scenario(default_settings, async |world: Rc<World>| {
--- a/src/controller/tests/faults/limits_and_zones.rs
+++ b/src/controller/tests/faults/limits_and_zones.rs
@@ -85,8 +85,8 @@
 }
 
 /// Guards against zone constraints that are violated when tasks are restarted. Jobs that must be in a named zone, in
-/// any single zone, or spread over zones lose machines that run their tasks, and the leader crashes. The
-/// jobs are arrays: the constraints hold for these as for gangs.
+/// any single zone, or spread over zones lose machines that run their tasks, and the leader crashes. The jobs are
+/// arrays, to which zone constraints apply as well as to gangs.
 #[test]
 fn jobs_with_zone_constraints_keep_them_when_machines_are_lost() {
     run_scenario(default_settings, async |world: Rc<World>| {
--- a/src/controller/tests/faults/store_replies.rs
+++ b/src/controller/tests/faults/store_replies.rs
@@ -68,8 +68,8 @@
     });
 }
 
-/// Crashes the leader before its write of a job's assignment is applied, which happens in a later term. Half of the
-/// machines can't send heartbeats then, so the next leader can't rule out that they have tasks of that job.
+/// Crashes the leader while its write of a job's assignment is pending; the write is applied in a later term. Half of
+/// the machines can't send heartbeats then, so the next leader can't rule out that they have tasks of that job.
 async fn crash_leader_with_a_pending_write(world: &Rc<World>, id: &str) {
     world
         .wait_until("led", 30.0, || world.leader().is_some())
--- a/src/controller/tests/faults/users.rs
+++ b/src/controller/tests/faults/users.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// Guards against a reply that is older than one given before by another node. Users query all nodes every 0.12 s and
-/// repeat the submission, from when a job is accepted or its cancellation is confirmed until after its end.
+/// Guards against a reply that is older than one given before by another node. After a job is accepted, and until
+/// after its end, users query all nodes every 0.12 s and repeat the submission. Some jobs are cancelled at once.
 #[test]
 fn concurrent_queries_at_all_nodes_never_show_an_older_state() {
     run_scenario(default_settings, async |world: Rc<World>| {
@@ -96,8 +96,8 @@
     });
 }
 
-/// Guards against jobs that are never run in a long stream of one-task jobs, submitted a fifth of a second apart, a
-/// quarter of which is cancelled.
+/// Guards against jobs that are never run in a stream of 600 one-task jobs over at least two minutes: each is submitted
+/// 0.2 s after the requests for the previous one are answered, and a quarter of them is cancelled at once.
 #[test]
 fn a_stream_of_small_jobs_with_cancellations_is_completed() {
     run_scenario(default_settings, async |world: Rc<World>| {
@@ -162,6 +162,7 @@
                 impossible_job(&|spec| spec.cpus = 65.0),
                 impossible_job(&|spec| spec.types = Some(vec!["huge".into()])),
                 impossible_job(&|spec| spec.zone = Some("west".into())),
+                // One task more than the team's limit allows, and a gang needs all its tasks at once.
                 impossible_job(&|spec| {
                     (spec.team, spec.kind, spec.tasks) = ("red".into(), JobKind::Gang, 21)
                 }),
--- a/src/controller/tests/faults/zones.rs
+++ b/src/controller/tests/faults/zones.rs
@@ -4,7 +4,8 @@
 
 /// Guards against tasks that run twice, or that survive their cancellation, when a zone with workers and a controller
 /// is partitioned for longer than a lease. A delegate in the zone keeps its tasks running; without one, they run
-/// elsewhere, but only after the workers' leases have expired. A cancellation must reach them in time.
+/// elsewhere, but only after the workers' leases have expired. A cancellation must reach them in time. The partition
+/// separates workers from the controllers of other zones; controllers still reach each other and the state service.
 #[test]
 fn tasks_in_a_zone_partitioned_for_longer_than_a_lease_run_once() {
     for leader_crashes in [false, true] {
