--- a/src/controller/tests/world.rs
+++ b/src/controller/tests/world.rs
@@ -1,6 +1,7 @@
-//! Whole controllers in memory: their real routines, against a state service, a cloud, workers and users that follow
-//! the protocol and into which a test can inject every fault that it allows. The rules are checked by what workers do
-//! and users are answered, not by anything the controllers know.
+//! An in-memory world in which tests run whole controllers. The controllers run their real code. The state service, the
+//! cloud, the workers and the users are stand-ins that follow the protocol, and tests can inject into them every fault
+//! that the protocol allows. The rules are checked against what workers do and which replies users get, never against
+//! the controllers' own records.
 
 mod checks;
 mod cloud;
@@ -26,9 +27,10 @@
 pub use state::State;
 pub use workers::Worker;
 
+/// The zone of each controller.
 pub const ZONES: [&str; 3] = ["north", "south", "north"];
 pub const NODES: usize = ZONES.len();
-/// Seconds between two steps of workers and checks.
+/// Seconds between two steps of tasks, gangs and checks.
 const TICK_S: f64 = 0.25;
 const LIMITS: ServerLimits = ServerLimits {
     connections: 400,
@@ -37,38 +39,42 @@
     evictable_idle_s: 30.0,
 };
 
-/// The address of a simulated host.
-fn addr(host: u8, port: u16) -> SocketAddr {
+/// The address of a port on a simulated host.
+fn host_address(host: u8, port: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, host], port))
 }
 
+/// The address at which a controller answers users and workers.
 pub fn front_address(node: usize) -> SocketAddr {
-    addr(node as u8, 80)
+    host_address(node as u8, 80)
 }
 
-/// A controller's process; dropping it kills it.
-type Process = (Rc<Controller>, Scope);
+/// The process of a controller. Dropping it kills the process.
+type ControllerProcess = (Rc<Controller>, Scope);
 
 pub struct World {
     pub runtime: Runtime,
     pub config: Config,
-    /// Settings that processes are started with in place of `config`, if set.
+    /// If set, new controller processes start with these settings instead of `config`.
     pub config_override: RefCell<Option<Config>>,
     pub state: Rc<State>,
     pub cloud: Rc<Cloud>,
     pub checks: Rc<Checks>,
     gangs: Gangs,
+    /// The workers of all existing machines, by machine name.
     pub workers: RefCell<BTreeMap<String, Rc<Worker>>>,
-    nodes: RefCell<Vec<Option<Process>>>,
-    /// A zone, and until when it is partitioned from the others.
+    /// The controllers' processes by node number; None if a controller isn't running.
+    nodes: RefCell<Vec<Option<ControllerProcess>>>,
+    /// A zone, and the end of its network partition from the other zones.
     pub partition: Cell<(&'static str, Time)>,
+    /// Runs the stand-ins, the checks and the background work of tests.
     pub services: Scope,
 }
 
 /// Leaves the sample settings unchanged.
 pub fn default_settings(_: &mut Config) {}
 
-/// Boots machines alternating between the zones, and starts controllers led by the first.
+/// Boots machines alternately in the two zones, and starts all controllers with node 0 as the leader.
 pub async fn start_cluster(world: &Rc<World>, machines: usize) {
     for i in 0..machines {
         world.boot(["north", "south"][i % 2]);
@@ -76,13 +82,14 @@
     world.start_led_by(0).await;
 }
 
-/// Runs a script; when it ends, all rules must have held, and every accepted job must have ended or be known.
+/// Runs a test script in a new world. Panics if the script doesn't finish, or if a rule of `Checks` was violated. A
+/// script that calls `World::wait_for_all_jobs` also checks that every accepted job ends.
 pub fn run_scenario<F: Future<Output = ()> + 'static>(
     configure: impl FnOnce(&mut Config),
     script: impl FnOnce(Rc<World>) -> F,
 ) {
     let finished = Rc::new(Cell::new(false));
-    let end = finished.clone();
+    let script_finished = finished.clone();
     Runtime::run_in_memory(|runtime| {
         let mut config = crate::config::tests::sample();
         config.deployment.nodes = NODES;
@@ -90,17 +97,17 @@
         let world = World::new(runtime, config);
         let root = Scope::new(runtime);
         let runtime = runtime.clone();
-        let work = script(world.clone());
+        let script_run = script(world.clone());
         root.spawn(async move {
-            work.await;
+            script_run.await;
             world.checks.assert_no_violations();
-            end.set(true);
+            script_finished.set(true);
             world.shut_down();
             runtime.stop();
         });
         root
     });
-    assert!(finished.get(), "the script never ended");
+    assert!(finished.get(), "the test script did not finish");
 }
 
 impl World {
@@ -123,20 +130,20 @@
             services,
         });
         world.start_cloud();
-        let watch = world.clone();
+        let checked_world = world.clone();
         world.services.spawn(async move {
             loop {
-                watch.runtime.sleep(TICK_S).await;
-                watch.step_gangs();
-                watch
+                checked_world.runtime.sleep(TICK_S).await;
+                checked_world.step_gangs();
+                checked_world
                     .checks
-                    .check_all(watch.runtime.now(), &watch.workers.borrow());
+                    .check_all(checked_world.runtime.now(), &checked_world.workers.borrow());
             }
         });
         world
     }
 
-    /// Drops everything that holds references to this world.
+    /// Drops the controllers and workers, so that nothing that they hold keeps this world alive.
     fn shut_down(&self) {
         for node in 0..NODES {
             self.kill(node);
@@ -144,10 +151,10 @@
         self.workers.borrow_mut().clear();
     }
 
-    fn serve(&self, at: SocketAddr, handler: Handler) {
-        let listener = self.runtime.listen(at).unwrap();
-        let served = serve(self.runtime.clone(), listener, LIMITS, handler);
-        self.services.spawn(served);
+    fn serve(&self, address: SocketAddr, handler: Handler) {
+        let listener = self.runtime.listen(address).unwrap();
+        let server = serve(self.runtime.clone(), listener, LIMITS, handler);
+        self.services.spawn(server);
     }
 
     pub fn now(&self) -> Time {
@@ -158,84 +165,94 @@
         self.runtime.sleep(seconds).await;
     }
 
-    /// Waits until a condition holds; panics after `limit_s`.
-    pub async fn wait_until(&self, what: &str, limit_s: f64, holds: impl Fn() -> bool) {
+    /// Waits until a condition holds. Panics after `limit_s` seconds.
+    pub async fn wait_until(&self, condition: &str, limit_s: f64, holds: impl Fn() -> bool) {
         let deadline = self.now() + limit_s;
         while !holds() {
-            assert!(self.now() < deadline, "at {:.1}: not {what}", self.now());
+            assert!(
+                self.now() < deadline,
+                "at {:.1} s: not {condition}",
+                self.now()
+            );
             self.run(0.02).await;
         }
     }
 
-    /// Starts a controller's process.
-    pub fn start(&self, at: usize) {
-        let other = self.config_override.borrow().clone();
-        let mut config = other.unwrap_or_else(|| self.config.clone());
-        config.node = format!("n{at}");
-        config.zone = ZONES[at].into();
-        config.listen = front_address(at);
-        config.peer_listen = addr(at as u8, 81);
-        let others = (0..NODES).filter(|other| *other != at);
-        config.peers = others
+    /// Starts the process of a controller that isn't running.
+    pub fn start(&self, node: usize) {
+        let config_override = self.config_override.borrow().clone();
+        let mut config = config_override.unwrap_or_else(|| self.config.clone());
+        config.node = format!("n{node}");
+        config.zone = ZONES[node].into();
+        config.listen = front_address(node);
+        config.peer_listen = host_address(node as u8, 81);
+        let other_nodes = (0..NODES).filter(|other| *other != node);
+        config.peers = other_nodes
             .map(|other| Peer {
                 name: format!("n{other}"),
                 zone: ZONES[other].into(),
-                addr: addr(other as u8, 81),
+                addr: host_address(other as u8, 81),
             })
             .collect();
-        config.services.state = state::link_address(at);
-        config.services.cloud = cloud::at();
-        let started = start(&self.runtime, Rc::new(config)).unwrap();
-        self.nodes.borrow_mut()[at] = Some(started);
+        config.services.state = state::link_address(node);
+        config.services.cloud = cloud::address();
+        let process = start(&self.runtime, Rc::new(config)).unwrap();
+        self.nodes.borrow_mut()[node] = Some(process);
     }
 
-    /// Kills a controller's process.
-    pub fn kill(&self, at: usize) {
-        self.nodes.borrow_mut()[at] = None;
+    /// Kills the process of a controller, if it is running.
+    pub fn kill(&self, node: usize) {
+        self.nodes.borrow_mut()[node] = None;
     }
 
-    /// Starts all controllers, this one first, so that it becomes the leader.
+    /// Starts all controllers with `first` as the leader: the others start after its election.
     pub async fn start_led_by(&self, first: usize) {
         self.start(first);
         self.wait_until("led", 10.0, || self.leader() == Some(first))
             .await;
-        for at in (0..NODES).filter(|at| *at != first) {
-            self.start(at);
+        for node in (0..NODES).filter(|node| *node != first) {
+            self.start(node);
         }
-        self.wait_until("ready", 10.0, || (0..NODES).all(|at| self.is_ready(at)))
+        self.wait_until("ready", 10.0, || (0..NODES).all(|node| self.is_ready(node)))
             .await;
     }
 
-    pub fn node(&self, at: usize) -> Option<Rc<Controller>> {
-        self.nodes.borrow()[at].as_ref().map(|(n, _)| n.clone())
+    /// The controller of a node, or None if it isn't running.
+    pub fn node(&self, node: usize) -> Option<Rc<Controller>> {
+        self.nodes.borrow()[node]
+            .as_ref()
+            .map(|(controller, _)| controller.clone())
     }
 
-    fn is_ready(&self, at: usize) -> bool {
-        self.node(at).is_some_and(|n| n.readiness().status == 200)
+    fn is_ready(&self, node: usize) -> bool {
+        self.node(node)
+            .is_some_and(|controller| controller.readiness().status == 200)
     }
 
-    /// The node that may act as the leader.
+    /// The first node that acts as the leader.
     pub fn leader(&self) -> Option<usize> {
-        (0..NODES).find(|at| self.is_acting_leader(*at))
+        (0..NODES).find(|node| self.is_acting_leader(*node))
     }
 
-    pub fn is_acting_leader(&self, at: usize) -> bool {
-        self.node(at).is_some_and(|n| {
-            n.trusted_fencing_token().is_some() && n.leadership.leader.borrow().is_some()
+    /// Returns whether a controller has built the leader's state and holds a fencing token that it still trusts.
+    pub fn is_acting_leader(&self, node: usize) -> bool {
+        self.node(node).is_some_and(|controller| {
+            controller.trusted_fencing_token().is_some()
+                && controller.leadership.leader.borrow().is_some()
         })
     }
 
-    /// Whether a zone and a node are partitioned from each other.
+    /// Returns whether the network between a zone and a controller is partitioned now.
     fn is_partitioned(&self, zone: &str, node: usize) -> bool {
-        let (cut, until) = self.partition.get();
-        self.now() < until && (zone == cut) != (ZONES[node] == cut)
+        let (partitioned_zone, until) = self.partition.get();
+        self.now() < until && (zone == partitioned_zone) != (ZONES[node] == partitioned_zone)
     }
 
     pub fn all_workers(&self) -> Vec<Rc<Worker>> {
         self.workers.borrow().values().cloned().collect()
     }
 
-    /// How many tasks of a job are on machines.
+    /// Counts the tasks of a job that are on machines and haven't exited.
     pub fn tasks_on_machines(&self, id: &str) -> usize {
         let workers = self.workers.borrow();
         workers
--- a/src/controller/tests/world/gangs.rs
+++ b/src/controller/tests/world/gangs.rs
@@ -1,5 +1,5 @@
-//! Gangs by the protocol: the tasks of an attempt find each other, start together, complete together, and exit when
-//! one of them is gone.
+//! Gangs of the stand-in workers. The tasks of an attempt wait for each other, start together, complete together, and
+//! all exit if one of them is missing.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,21 +11,21 @@
 use crate::protocol::workers::{ExitReason, TaskState};
 use crate::runtime::Time;
 
-/// An attempt of a gang: job id and attempt number.
+/// An attempt to run a gang: job id and attempt number.
 type Attempt = (String, u64);
 
-/// Progress of an attempt beyond the states of its tasks.
+/// The progress of an attempt that the states of its tasks don't show.
 #[derive(Default)]
 struct Progress {
-    /// When all its tasks started running.
-    started: Option<Time>,
-    /// When its first task was placed.
+    /// When the tasks started running together.
+    started_at: Option<Time>,
+    /// When the first task arrived on a machine.
     waiting_since: Option<Time>,
-    /// When a task was first found missing after the start.
+    /// Since when a task has been missing, after the start.
     broken_at: Option<Time>,
 }
 
-/// All attempts ever placed.
+/// The attempts that have tasks on machines.
 #[derive(Default)]
 pub struct Gangs {
     attempts: RefCell<BTreeMap<Attempt, Progress>>,
@@ -36,12 +36,12 @@
     worker: Rc<Worker>,
     task: String,
     state: TaskState,
-    done: bool,
+    completed: bool,
 }
 
 impl Gangs {
-    /// A task has its image and waits for the others of its attempt.
-    pub fn wait_for_others(&self, worker: &Worker, task: &str, attempt: u64) {
+    /// Makes a task wait for the other tasks of its attempt. Its image counts as pulled.
+    pub fn wait_for_peers(&self, worker: &Worker, task: &str, attempt: u64) {
         set_state(worker, task, attempt, TaskState::Waiting, None);
         let (id, _) = parse_task_name(task).unwrap();
         let mut attempts = self.attempts.borrow_mut();
@@ -59,14 +59,14 @@
 ) {
     let mut fake = worker.fake.borrow_mut();
     let tasks = fake.heartbeat.tasks.iter_mut();
-    for t in tasks.filter(|t| t.task == task && t.attempt == attempt) {
-        t.state = state;
-        t.exit_reason = exit_reason;
+    for status in tasks.filter(|status| status.task == task && status.attempt == attempt) {
+        status.state = state;
+        status.exit_reason = exit_reason;
     }
 }
 
 impl World {
-    /// Lets gangs start, complete and break up.
+    /// Advances all attempts: starts those that are complete, and ends those that completed or broke up.
     pub(super) fn step_gangs(&self) {
         let mut members = self.gang_members();
         let mut attempts = self.gangs.attempts.borrow_mut();
@@ -77,57 +77,61 @@
         }
     }
 
-    /// The tasks that are on machines, or completed there, by attempt.
+    /// The tasks of gangs that are on machines or have completed there, by attempt.
     fn gang_members(&self) -> BTreeMap<Attempt, Vec<Member>> {
         let mut members: BTreeMap<Attempt, Vec<Member>> = BTreeMap::new();
         for worker in self.all_workers() {
-            let live = worker.running_tasks();
-            let exited = worker.exited_done();
-            for t in live.iter().chain(&exited) {
-                let (id, _) = parse_task_name(&t.task).unwrap();
-                if self.checks.spec(&t.task).kind != JobKind::Gang {
+            let running = worker.running_tasks();
+            let completed = worker.completed_tasks();
+            for status in running.iter().chain(&completed) {
+                let (id, _) = parse_task_name(&status.task).unwrap();
+                if self.checks.spec(&status.task).kind != JobKind::Gang {
                     continue;
                 }
                 let member = Member {
                     worker: worker.clone(),
-                    task: t.task.clone(),
-                    state: t.state,
-                    done: t.state == TaskState::Exited,
+                    task: status.task.clone(),
+                    state: status.state,
+                    completed: status.state == TaskState::Exited,
                 };
-                let attempt = (id.to_owned(), t.attempt);
+                let attempt = (id.to_owned(), status.attempt);
                 members.entry(attempt).or_default().push(member);
             }
         }
         members
     }
 
+    /// Advances one attempt. It starts once all its tasks wait on workers that don't hang, and gives up after
+    /// `gang_wait_s`. If a task is missing for half of `gang_peer_s` after the start, the others exit.
     fn step_gang(&self, attempt: &Attempt, progress: &mut Progress, members: &[Member]) {
         let now = self.now();
-        let w = &self.config.deployment.workers;
+        let worker_settings = &self.config.deployment.workers;
         let spec = self.checks.spec(&members[0].task);
-        if members.iter().any(|m| m.done) {
-            // If one task is done, all are.
+        if members.iter().any(|member| member.completed) {
+            // If one task has completed, all have.
             self.exit_all(attempt, members, ExitReason::Done);
             return;
         }
         let complete = members.len() == spec.tasks as usize;
-        let able = members.iter().all(|m| !m.worker.hangs(now));
-        if progress.started.is_none() {
-            let waiting = members.iter().all(|m| m.state == TaskState::Waiting);
-            if complete && able && waiting {
-                progress.started = Some(now);
+        let none_hangs = members.iter().all(|member| !member.worker.hangs(now));
+        if progress.started_at.is_none() {
+            let all_waiting = members
+                .iter()
+                .all(|member| member.state == TaskState::Waiting);
+            if complete && none_hangs && all_waiting {
+                progress.started_at = Some(now);
                 self.start_gang(attempt, members);
             } else if progress
                 .waiting_since
-                .is_some_and(|since| now - since > w.gang_wait_s)
+                .is_some_and(|since| now - since > worker_settings.gang_wait_s)
             {
                 self.exit_all(attempt, members, ExitReason::Incomplete);
             }
-        } else if complete && able {
+        } else if complete && none_hangs {
             progress.broken_at = None;
         } else {
-            let since = *progress.broken_at.get_or_insert(now);
-            if now - since > w.gang_peer_s / 2.0 {
+            let broken_since = *progress.broken_at.get_or_insert(now);
+            if now - broken_since > worker_settings.gang_peer_s / 2.0 {
                 self.exit_all(attempt, members, ExitReason::Peers);
             }
         }
@@ -135,27 +139,36 @@
 
     fn start_gang(&self, attempt: &Attempt, members: &[Member]) {
         let now = self.now();
-        for m in members {
-            set_state(&m.worker, &m.task, attempt.1, TaskState::Running, None);
-            let ends = now + self.checks.run_time_s(&m.task);
-            let mut all = m.worker.ends.borrow_mut();
-            all.insert((m.task.clone(), attempt.1), ends);
-            m.worker.schedule_heartbeat(now);
+        for member in members {
+            set_state(
+                &member.worker,
+                &member.task,
+                attempt.1,
+                TaskState::Running,
+                None,
+            );
+            let completion_time = now + self.checks.run_time_s(&member.task);
+            let mut completion_times = member.worker.completion_times.borrow_mut();
+            completion_times.insert((member.task.clone(), attempt.1), completion_time);
+            member.worker.schedule_heartbeat(now);
         }
     }
 
-    /// All tasks of an attempt exit, except on machines that hang.
+    /// Makes all tasks of an attempt exit, except on machines that hang.
     fn exit_all(&self, attempt: &Attempt, members: &[Member], exit_reason: ExitReason) {
         let now = self.now();
-        for m in members.iter().filter(|m| !m.done && !m.worker.hangs(now)) {
+        for member in members
+            .iter()
+            .filter(|member| !member.completed && !member.worker.hangs(now))
+        {
             set_state(
-                &m.worker,
-                &m.task,
+                &member.worker,
+                &member.task,
                 attempt.1,
                 TaskState::Exited,
                 Some(exit_reason),
             );
-            m.worker.schedule_heartbeat(now);
+            member.worker.schedule_heartbeat(now);
         }
     }
 }
--- a/src/controller/tests/world/production_view.rs
+++ b/src/controller/tests/world/production_view.rs
@@ -1,4 +1,4 @@
-//! What a controller of the production version reads from the store and writes to it.
+//! Simulates how a controller of the production version reads from the state service and writes to it.
 
 use serde_json::value::RawValue;
 
@@ -7,19 +7,21 @@
 use crate::tests::production;
 use crate::tests::production::Read;
 
-/// Removes the fields that the production version doesn't know from a value. None: it ignores the key.
-fn known_to_production(key: &str, value: &RawValue) -> Option<Box<RawValue>> {
+/// Removes the fields that the production version doesn't know from a value. Returns None if that version ignores the
+/// key.
+fn strip_unknown_fields(key: &str, value: &RawValue) -> Option<Box<RawValue>> {
     match production::read(key, value) {
         Ok(Read::Understood(value)) => Some(value),
         Ok(Read::Ignored) => None,
-        Err(e) => panic!("production can't read {key}: {e}"),
+        Err(error) => panic!("the production version can't read {key}: {error}"),
     }
 }
 
-/// Whether the production version makes a change at all; removes the fields that it doesn't write.
+/// Removes the fields that the production version doesn't write from a change. Returns whether that version makes the
+/// change at all.
 pub(super) fn as_production_writes_it(change: &mut Change) -> bool {
     match change {
-        Change::Put { key, value, .. } => match known_to_production(key, value) {
+        Change::Put { key, value, .. } => match strip_unknown_fields(key, value) {
             Some(known) => {
                 *value = known;
                 true
@@ -30,18 +32,19 @@
     }
 }
 
-pub(super) fn as_production_sees_it(mut answer: Response) -> Response {
-    let Ok(mut body) = serde_json::from_slice::<serde_json::Value>(&answer.body) else {
-        return answer;
+/// Removes the keys and fields that the production version doesn't know from a reply of the state service.
+pub(super) fn as_production_sees_it(mut reply: Response) -> Response {
+    let Ok(mut body) = serde_json::from_slice::<serde_json::Value>(&reply.body) else {
+        return reply;
     };
-    let is_known = |item: &mut serde_json::Value| {
+    let strip_item = |item: &mut serde_json::Value| {
         let key = item["K"].as_str().or(item["Put"].as_str());
         let Some(key) = key.map(str::to_owned) else {
-            // The key was deleted.
+            // A deletion has no value to strip.
             return true;
         };
         let value = serde_json::value::to_raw_value(&item["V"]).unwrap();
-        let Some(known) = known_to_production(&key, &value) else {
+        let Some(known) = strip_unknown_fields(&key, &value) else {
             return false;
         };
         item["V"] = serde_json::from_str(known.get()).unwrap();
@@ -49,12 +52,12 @@
     };
     for list in ["Pairs", "News"] {
         if let Some(items) = body[list].as_array_mut() {
-            items.retain_mut(is_known);
+            items.retain_mut(strip_item);
         }
     }
     if !body["V"].is_null() {
-        is_known(&mut body);
+        strip_item(&mut body);
     }
-    answer.body = serde_json::to_vec(&body).unwrap();
-    answer
+    reply.body = serde_json::to_vec(&body).unwrap();
+    reply
 }
--- a/src/controller/tests/world/state.rs
+++ b/src/controller/tests/world/state.rs
@@ -1,4 +1,5 @@
-//! The state service, with an address for each controller, so that faults can be injected per controller.
+//! Stand-in for the state service. Each controller reaches it at an address of its own, so that tests can inject faults
+//! for one controller only.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,7 +11,7 @@
 use serde_json::value::RawValue;
 
 use super::production_view::{as_production_sees_it, as_production_writes_it};
-use super::{LIMITS, NODES, addr};
+use super::{LIMITS, NODES, host_address};
 use crate::http::{Request, Response, serve};
 use crate::protocol::paths;
 use crate::protocol::store::{Change, Condition, Txn};
@@ -21,64 +22,76 @@
 use crate::test_support::FakeStore;
 
 const PORT: u16 = 2379;
-/// Seconds after which a withheld reply is given; longer than any client waits.
+/// Seconds by which a withheld reply is delayed: longer than any client waits.
 const NO_REPLY_S: f64 = 600.0;
-/// Most seconds after which a transaction without a reply is applied.
+/// Longest time, in seconds, after which a transaction without a reply is applied.
 pub const LATE_WRITE_S: f64 = 6.0;
 
-/// The address under which a controller reaches the service.
+/// The address at which a controller reaches the service.
 pub fn link_address(node: usize) -> SocketAddr {
-    addr(100 + node as u8, PORT)
+    host_address(100 + node as u8, PORT)
 }
 
-/// Faults injected between the service and a controller.
+/// Faults injected between the service and one controller.
 #[derive(Default)]
 pub struct ControllerLink {
+    /// Until then the service rejects all requests of the controller.
     pub refused_until: Cell<Time>,
-    /// Its watches bring no changes, though everything else is answered.
+    /// Until then watches deliver no changes, while all other requests are answered.
     pub stalled_until: Cell<Time>,
-    /// Number of coming transactions that are applied at once without a reply.
+    /// Number of future transactions that are applied at once but get no reply.
     pub lose_answers: Cell<u32>,
-    /// Number of coming transactions that get no reply and are applied later.
+    /// Number of future transactions that get no reply and are applied after `LATE_WRITE_S`.
     pub late_writes: Cell<u32>,
+    /// Seconds by which each request is delayed.
     pub slow_s: Cell<f64>,
-    /// The controller simulates the production version: it neither reads nor writes what that version doesn't know.
+    /// The controller simulates the production version: fields and keys unknown to that version are removed from what
+    /// it reads and writes.
     pub is_production: Cell<bool>,
 }
 
+/// A lease of the service. The service deletes the lease's keys when it expires.
 struct Lease {
     lease_duration_s: f64,
-    ends: Time,
+    expires_at: Time,
     keys: Vec<String>,
 }
 
+/// An applied change of one key. A value of None is a deletion.
 struct LoggedChange {
     revision: u64,
     key: String,
     value: Option<Box<RawValue>>,
 }
 
+/// The service: its keys, change log and leases, and the injected faults.
 pub struct State {
     runtime: Runtime,
     pub store: RefCell<FakeStore>,
+    /// All applied changes, in order.
     log: RefCell<Vec<LoggedChange>>,
     leases: RefCell<BTreeMap<u64, Lease>>,
-    next_lease: Cell<u64>,
+    /// Id of the last lease created.
+    last_lease_id: Cell<u64>,
+    /// Faults by controller.
     pub links: Vec<ControllerLink>,
+    /// Until then the service rejects all requests.
     pub outage_until: Cell<Time>,
-    /// Limits: bytes of a value, changes of a transaction, changes a second.
+    /// Limits: bytes in a value, changes in a transaction, changes per second.
     pub limits: Cell<(usize, usize, f64)>,
-    /// Changes allowed at once, and when that was computed.
-    allowance: Cell<(f64, Time)>,
-    /// Transactions that were too large.
+    /// Token bucket for changes: tokens left, and the time of that count.
+    token_bucket: Cell<(f64, Time)>,
+    /// Number of transactions rejected because they exceed the size limits.
     pub too_large: Cell<u32>,
-    moved: Notify,
-    /// The leader's node by fencing token.
+    /// Notified when keys change.
+    changed: Notify,
+    /// The node elected with each fencing token.
     pub leaders: RefCell<BTreeMap<u64, usize>>,
-    /// All transactions ever received.
-    sent: RefCell<Vec<Rc<Txn>>>,
+    /// All transactions received that change keys.
+    received_txns: RefCell<Vec<Rc<Txn>>>,
 }
 
+/// The body of a transaction request.
 #[derive(Deserialize)]
 struct RequestBody {
     #[serde(rename = "If", default)]
@@ -108,20 +121,24 @@
 }
 
 impl RequestBody {
+    /// The transaction, or None if a change is malformed.
     fn into_txn(self) -> Option<Txn> {
-        let conditions = self.conditions.into_iter().map(|c| Condition {
-            key: c.key,
-            revision: c.version,
-        });
-        let changes = self.changes.into_iter().map(|c| match (c.put, c.delete) {
-            (Some(key), None) => Some(Change::Put {
-                key,
-                value: c.value?,
-                lease: c.lease,
-            }),
-            (None, Some(key)) => Some(Change::Delete { key }),
-            _ => None,
+        let conditions = self.conditions.into_iter().map(|condition| Condition {
+            key: condition.key,
+            revision: condition.version,
         });
+        let changes = self
+            .changes
+            .into_iter()
+            .map(|change| match (change.put, change.delete) {
+                (Some(key), None) => Some(Change::Put {
+                    key,
+                    value: change.value?,
+                    lease: change.lease,
+                }),
+                (None, Some(key)) => Some(Change::Delete { key }),
+                _ => None,
+            });
         Some(Txn {
             conditions: conditions.collect(),
             changes: changes.collect::<Option<_>>()?,
@@ -129,7 +146,8 @@
     }
 }
 
-fn parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
+/// A parameter of the query string.
+fn query_parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = path.split_once('?')?;
     query
         .split('&')
@@ -143,64 +161,67 @@
             store: RefCell::default(),
             log: RefCell::default(),
             leases: RefCell::default(),
-            next_lease: Cell::new(0),
+            last_lease_id: Cell::new(0),
             links: (0..NODES).map(|_| ControllerLink::default()).collect(),
             outage_until: Cell::new(0.0),
             limits: Cell::new((8 * 1024, 16, 20.0)),
-            allowance: Cell::new((0.0, 0.0)),
+            token_bucket: Cell::new((0.0, 0.0)),
             too_large: Cell::new(0),
-            moved: Notify::default(),
+            changed: Notify::default(),
             leaders: RefCell::default(),
-            sent: RefCell::default(),
+            received_txns: RefCell::default(),
         });
         for node in 0..NODES {
-            let served = state.clone();
+            let shared_state = state.clone();
             let handler = Rc::new(move |request: Request| {
-                let state = served.clone();
-                Box::pin(async move { state.answer(node, request).await }) as _
+                let state = shared_state.clone();
+                Box::pin(async move { state.handle(node, request).await }) as _
             });
             let listener = runtime.listen(link_address(node)).unwrap();
             scope.spawn(serve(runtime.clone(), listener, LIMITS, handler));
         }
-        let ending = state.clone();
+        let expiring_state = state.clone();
         scope.spawn(async move {
             loop {
-                ending.runtime.sleep(0.05).await;
-                ending.end_leases();
+                expiring_state.runtime.sleep(0.05).await;
+                expiring_state.expire_leases();
             }
         });
         state
     }
 
+    /// Makes the service reject all requests for `for_s` seconds.
     pub fn outage(&self, for_s: f64) {
         self.outage_until.set(self.runtime.now() + for_s);
     }
 
-    /// The service rejects all requests of one controller.
+    /// Makes the service reject all requests of one controller for `for_s` seconds.
     pub fn refuse(&self, node: usize, for_s: f64) {
         self.links[node]
             .refused_until
             .set(self.runtime.now() + for_s);
     }
 
+    /// Returns whether the service rejects a controller's requests now.
     fn refuses(&self, node: usize) -> bool {
         let now = self.runtime.now();
         now < self.outage_until.get() || now < self.links[node].refused_until.get()
     }
 
-    fn end_leases(&self) {
+    /// Deletes the keys of expired leases.
+    fn expire_leases(&self) {
         let now = self.runtime.now();
         let mut leases = self.leases.borrow_mut();
         if now < self.outage_until.get() {
-            // After an outage every lease has its full time again.
+            // After an outage, each lease gets its full duration again.
             for lease in leases.values_mut() {
-                lease.ends = self.outage_until.get() + lease.lease_duration_s;
+                lease.expires_at = self.outage_until.get() + lease.lease_duration_s;
             }
             return;
         }
-        let over = leases.iter().filter(|(_, l)| l.ends <= now);
-        let over: Vec<u64> = over.map(|(id, _)| *id).collect();
-        for id in over {
+        let expired = leases.iter().filter(|(_, lease)| lease.expires_at <= now);
+        let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
+        for id in expired {
             if let Some(lease) = leases.remove(&id) {
                 self.delete_keys(lease.keys);
             }
@@ -221,9 +242,10 @@
                 });
             }
         }
-        self.moved.notify_all();
+        self.changed.notify_all();
     }
 
+    /// Applies a transaction if its conditions and leases hold, and logs its changes.
     pub fn apply(&self, txn: &Txn) -> TxnOutcome {
         let mut leases = self.leases.borrow_mut();
         for change in &txn.changes {
@@ -261,13 +283,13 @@
                 value,
             });
         }
-        self.moved.notify_all();
+        self.changed.notify_all();
         outcome
     }
 
     /// All applied changes, in order.
     pub fn history(&self) -> Vec<Change> {
-        let logged = |logged: &LoggedChange| match &logged.value {
+        let to_change = |logged: &LoggedChange| match &logged.value {
             Some(value) => Change::Put {
                 key: logged.key.clone(),
                 value: value.clone(),
@@ -277,37 +299,37 @@
                 key: logged.key.clone(),
             },
         };
-        self.log.borrow().iter().map(logged).collect()
+        self.log.borrow().iter().map(to_change).collect()
     }
 
-    /// Applies every transaction ever received once more.
+    /// Applies every transaction ever received once more, in the same order.
     pub fn repeat_everything(&self) {
-        let sent: Vec<Rc<Txn>> = self.sent.borrow().clone();
-        for txn in sent {
+        let received: Vec<Rc<Txn>> = self.received_txns.borrow().clone();
+        for txn in received {
             self.apply(&txn);
         }
     }
 
-    async fn answer(&self, node: usize, request: Request) -> Response {
-        let answer = self.handle_request(node, request).await;
+    async fn handle(&self, node: usize, request: Request) -> Response {
+        let reply = self.handle_request(node, request).await;
         if self.links[node].is_production.get() {
-            as_production_sees_it(answer)
+            as_production_sees_it(reply)
         } else {
-            answer
+            reply
         }
     }
 
     async fn handle_request(&self, node: usize, request: Request) -> Response {
-        let line = &self.links[node];
-        if line.slow_s.get() > 0.0 {
-            self.runtime.sleep(line.slow_s.get()).await;
+        let link = &self.links[node];
+        if link.slow_s.get() > 0.0 {
+            self.runtime.sleep(link.slow_s.get()).await;
         }
         if self.refuses(node) {
-            return Response::error(503, "trouble");
+            return Response::error(503, "service unavailable");
         }
         let path = request.path.as_str();
         if path.starts_with(paths::WATCH) {
-            return self.follow(node, path).await;
+            return self.watch(node, path).await;
         }
         if path == paths::TXN {
             return self.transact(node, &request.body).await;
@@ -316,41 +338,41 @@
             return self.lease(&request.method, rest, &request.body);
         }
         match path.strip_prefix(paths::KEYS) {
-            Some(rest) if rest.starts_with('?') => self.page(rest),
+            Some(rest) if rest.starts_with('?') => self.list_page(rest),
             Some(rest) => self.get(&rest[1..]),
             None => Response::error(404, "no such path"),
         }
     }
 
     async fn transact(&self, node: usize, body: &[u8]) -> Response {
-        let asked = serde_json::from_slice::<RequestBody>(body).ok();
-        let Some(mut txn) = asked.and_then(RequestBody::into_txn) else {
+        let body = serde_json::from_slice::<RequestBody>(body).ok();
+        let Some(mut txn) = body.and_then(RequestBody::into_txn) else {
             return Response::error(400, "malformed");
         };
-        let line = &self.links[node];
-        if line.is_production.get() {
+        let link = &self.links[node];
+        if link.is_production.get() {
             txn.changes.retain_mut(as_production_writes_it);
         }
         let txn = Rc::new(txn);
-        if !self.fits(&txn) {
+        if !self.is_within_size_limits(&txn) {
             self.too_large.set(self.too_large.get() + 1);
             return Response::error(400, "too large");
         }
-        if !self.may_change(txn.changes.len()) {
+        if !self.take_tokens(txn.changes.len()) {
             return Response::error(429, "too many changes");
         }
         if !txn.changes.is_empty() {
-            self.sent.borrow_mut().push(txn.clone());
-            if line.late_writes.get() > 0 {
-                line.late_writes.set(line.late_writes.get() - 1);
+            self.received_txns.borrow_mut().push(txn.clone());
+            if link.late_writes.get() > 0 {
+                link.late_writes.set(link.late_writes.get() - 1);
                 self.runtime.sleep(LATE_WRITE_S).await;
                 self.apply(&txn);
                 self.runtime.sleep(NO_REPLY_S).await;
             }
         }
         let outcome = self.apply(&txn);
-        if !txn.changes.is_empty() && line.lose_answers.get() > 0 {
-            line.lose_answers.set(line.lose_answers.get() - 1);
+        if !txn.changes.is_empty() && link.lose_answers.get() > 0 {
+            link.lose_answers.set(link.lose_answers.get() - 1);
             self.runtime.sleep(NO_REPLY_S).await;
         }
         let revision = self.store.borrow().revision;
@@ -363,86 +385,93 @@
         }
     }
 
-    fn fits(&self, txn: &Txn) -> bool {
-        let (bytes, changes, _) = self.limits.get();
-        let fits = |change: &Change| match change {
-            Change::Put { value, .. } => value.get().len() <= bytes,
+    /// Returns whether a transaction is within the size limits of the service.
+    fn is_within_size_limits(&self, txn: &Txn) -> bool {
+        let (value_bytes, changes, _) = self.limits.get();
+        let value_fits = |change: &Change| match change {
+            Change::Put { value, .. } => value.get().len() <= value_bytes,
             Change::Delete { .. } => true,
         };
-        let small = txn.changes.len() <= changes && txn.conditions.len() <= 4 * changes;
-        small && txn.changes.iter().all(fits)
+        let count_fits = txn.changes.len() <= changes && txn.conditions.len() <= 4 * changes;
+        count_fits && txn.changes.iter().all(value_fits)
     }
 
-    fn may_change(&self, changes: usize) -> bool {
+    /// Takes a token for each change. Returns false, and takes none, if too few are left.
+    fn take_tokens(&self, changes: usize) -> bool {
         let (.., rate) = self.limits.get();
         let now = self.runtime.now();
-        let (left, at) = self.allowance.get();
-        let left = (left + (now - at) * rate).min(rate) - changes as f64;
-        let may = left >= 0.0;
-        self.allowance
-            .set((if may { left } else { left + changes as f64 }, now));
-        may
+        let (tokens, counted_at) = self.token_bucket.get();
+        let left = (tokens + (now - counted_at) * rate).min(rate) - changes as f64;
+        let allowed = left >= 0.0;
+        self.token_bucket
+            .set((if allowed { left } else { left + changes as f64 }, now));
+        allowed
     }
 
+    /// Creates, renews or revokes a lease.
     fn lease(&self, method: &str, rest: &str, body: &[u8]) -> Response {
         let now = self.runtime.now();
         let mut leases = self.leases.borrow_mut();
         if rest.is_empty() {
-            let asked: serde_json::Value = serde_json::from_slice(body).unwrap();
-            let lease_duration_s = asked["LifeMs"].as_f64().unwrap() / 1000.0;
-            let id = self.next_lease.get() + 1;
-            self.next_lease.set(id);
+            let lease_request: serde_json::Value = serde_json::from_slice(body).unwrap();
+            let lease_duration_s = lease_request["LifeMs"].as_f64().unwrap() / 1000.0;
+            let id = self.last_lease_id.get() + 1;
+            self.last_lease_id.set(id);
             let lease = Lease {
                 lease_duration_s,
-                ends: now + lease_duration_s,
+                expires_at: now + lease_duration_s,
                 keys: Vec::new(),
             };
             leases.insert(id, lease);
             return Response::json(200, &json!({ "Permit": id }));
         }
-        let (id, renewal) = match rest[1..].strip_suffix(paths::RENEW_SUFFIX) {
+        let (id, is_renewal) = match rest[1..].strip_suffix(paths::RENEW_SUFFIX) {
             Some(id) => (id, true),
             None => (&rest[1..], false),
         };
         let id: u64 = id.parse().unwrap();
         match leases.get_mut(&id) {
-            Some(lease) if renewal => {
-                lease.ends = now + lease.lease_duration_s;
+            Some(lease) if is_renewal => {
+                lease.expires_at = now + lease.lease_duration_s;
                 Response::json(200, &json!({}))
             }
             Some(_) if method == "DELETE" => {
                 let lease = leases.remove(&id);
                 drop(leases);
-                self.delete_keys(lease.map(|l| l.keys).unwrap_or_default());
+                self.delete_keys(lease.map(|lease| lease.keys).unwrap_or_default());
                 Response::json(200, &json!({}))
             }
             _ => Response::error(404, "no such lease"),
         }
     }
 
+    /// Replies with one key, its value and its lease.
     fn get(&self, key: &str) -> Response {
         let store = self.store.borrow();
         let leases = self.leases.borrow();
-        let permit = leases.iter().find(|(_, l)| l.keys.iter().any(|k| k == key));
+        let lease = leases
+            .iter()
+            .find(|(_, lease)| lease.keys.iter().any(|held| held == key));
         match store.keys.get(key) {
-            Some((value, stamp)) => Response::json(
+            Some((value, revision)) => Response::json(
                 200,
-                &json!({ "K": key, "V": value, "Stamp": stamp, "Permit": permit.map(|(id, _)| id) }),
+                &json!({ "K": key, "V": value, "Stamp": revision, "Permit": lease.map(|(id, _)| id) }),
             ),
             None => Response::json(404, &json!({ "Epoch": store.revision })),
         }
     }
 
-    fn page(&self, query: &str) -> Response {
-        let after = parameter(query, "After").unwrap_or_default();
-        let prefix = parameter(query, "Prefix").unwrap_or_default();
+    /// Replies with one page of the keys with a prefix.
+    fn list_page(&self, query: &str) -> Response {
+        let after = query_parameter(query, "After").unwrap_or_default();
+        let prefix = query_parameter(query, "Prefix").unwrap_or_default();
         let store = self.store.borrow();
-        let below = store.keys.iter().filter(|(k, _)| k.starts_with(prefix));
-        let mut rest = below.filter(|(k, _)| k.as_str() > after).peekable();
+        let matching = store.keys.iter().filter(|(key, _)| key.starts_with(prefix));
+        let mut rest = matching.filter(|(key, _)| key.as_str() > after).peekable();
         let mut pairs = Vec::new();
-        // Small pages, so that changes between them occur.
-        while let Some((key, (value, stamp))) = rest.next_if(|_| pairs.len() < 200) {
-            pairs.push(json!({ "K": key, "V": value, "Stamp": stamp }));
+        // Small pages make changes between two pages of a listing likely.
+        while let Some((key, (value, revision))) = rest.next_if(|_| pairs.len() < 200) {
+            pairs.push(json!({ "K": key, "V": value, "Stamp": revision }));
         }
         let more = rest.peek().is_some();
         Response::json(
@@ -451,33 +480,45 @@
         )
     }
 
-    async fn follow(&self, node: usize, path: &str) -> Response {
-        let number = |name| parameter(path, name).and_then(|v| v.parse::<u64>().ok());
-        let prefix = parameter(path, "Prefix").unwrap_or_default();
-        let after = number("After").unwrap_or(0);
-        let deadline = self.runtime.now() + number("BlockMs").unwrap_or(0) as f64 / 1000.0;
+    /// Replies with the changes after a revision, or with none once the requested time has passed.
+    async fn watch(&self, node: usize, path: &str) -> Response {
+        let number_parameter =
+            |name| query_parameter(path, name).and_then(|value| value.parse::<u64>().ok());
+        let prefix = query_parameter(path, "Prefix").unwrap_or_default();
+        let after = number_parameter("After").unwrap_or(0);
+        let deadline =
+            self.runtime.now() + number_parameter("BlockMs").unwrap_or(0) as f64 / 1000.0;
         loop {
             let now = self.runtime.now();
-            // Open watches stay open during an outage.
-            let held = self.refuses(node) || now < self.links[node].stalled_until.get();
-            if !held {
+            // Open watches stay open during an outage, but deliver nothing.
+            let withheld = self.refuses(node) || now < self.links[node].stalled_until.get();
+            if !withheld {
                 let log = self.log.borrow();
-                let fresh = log.iter().rev().take_while(|l| l.revision > after);
-                let mut news: Vec<_> = fresh
-                    .filter(|l| l.key.starts_with(prefix))
-                    .map(|l| match &l.value {
-                        Some(value) => json!({ "Put": l.key, "V": value, "Stamp": l.revision }),
-                        None => json!({ "Delete": l.key, "Stamp": l.revision }),
+                let unseen = log
+                    .iter()
+                    .rev()
+                    .take_while(|logged| logged.revision > after);
+                let mut changes: Vec<_> = unseen
+                    .filter(|logged| logged.key.starts_with(prefix))
+                    .map(|logged| match &logged.value {
+                        Some(value) => {
+                            json!({ "Put": logged.key, "V": value, "Stamp": logged.revision })
+                        }
+                        None => json!({ "Delete": logged.key, "Stamp": logged.revision }),
                     })
                     .collect();
-                news.reverse();
-                if !news.is_empty() || now >= deadline {
+                changes.reverse();
+                if !changes.is_empty() || now >= deadline {
                     let revision = self.store.borrow().revision;
-                    return Response::json(200, &json!({ "Epoch": revision, "News": news }));
+                    return Response::json(200, &json!({ "Epoch": revision, "News": changes }));
                 }
             }
-            let wait = if held { 0.1 } else { (deadline - now).min(0.5) };
-            let _ = self.runtime.timeout(wait, self.moved.notified()).await;
+            let wait_s = if withheld {
+                0.1
+            } else {
+                (deadline - now).min(0.5)
+            };
+            let _ = self.runtime.timeout(wait_s, self.changed.notified()).await;
         }
     }
 }
--- a/src/controller/tests/world/workers.rs
+++ b/src/controller/tests/world/workers.rs
@@ -1,10 +1,10 @@
-//! Workers that follow the protocol.
+//! Stand-ins for workers. They follow the protocol: heartbeats, leases, commands and task runs; tests inject faults.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use super::{NODES, TICK_S, World, addr, front_address};
+use super::{NODES, TICK_S, World, front_address, host_address};
 use crate::http::{Client, Request, Response};
 use crate::jobs::task_name::parse_task_name;
 use crate::protocol::paths;
@@ -15,62 +15,73 @@
 use crate::runtime::{Runtime, Time};
 use crate::test_support::FakeWorker;
 
+/// Seconds that a worker waits for the reply to a heartbeat.
 const REPLY_TIMEOUT_S: f64 = 4.0;
 const RETRY_S: f64 = 1.0;
 pub(super) const CHANGE_DELAY_S: f64 = 0.5;
+/// Largest reply, in bytes, that a worker reads.
 const BODY_MAX: usize = 1024 * 1024;
 
+/// A machine with its worker.
 pub struct Worker {
     runtime: Runtime,
     lease_s: f64,
     pub name: String,
     pub zone: String,
+    /// The worker's own state, as its next heartbeat reports it.
     pub fake: RefCell<FakeWorker>,
+    /// The controller that receives the next heartbeat.
     node: Cell<usize>,
+    /// Start of the lease: the time at which the last answered heartbeat was sent, or of the boot.
     lease_from: Cell<Time>,
+    /// When the next heartbeat is due.
     heartbeat_at: Cell<Time>,
-    /// When each attempt ends.
-    pub(super) ends: RefCell<BTreeMap<(String, u64), Time>>,
+    /// The time at which each running attempt completes, by task and attempt number.
+    pub(super) completion_times: RefCell<BTreeMap<(String, u64), Time>>,
+    /// When the machine has booted; until then nothing runs on it.
     up_at: Time,
-    gone: Cell<bool>,
-    /// Until when it hangs: it executes nothing, and messages wait until it continues.
+    /// The machine was removed.
+    removed: Cell<bool>,
+    /// Until then the worker hangs: it executes nothing, and incoming messages wait.
     pub hung_until: Cell<Time>,
-    /// Until when its heartbeats arrive, but replies and direct commands are lost.
+    /// Until then heartbeats arrive, but their replies and direct commands are lost.
     pub replies_lost_until: Cell<Time>,
-    /// Until when it reaches no controller, while direct commands reach it.
+    /// Until then heartbeats reach no controller, but direct commands reach the worker.
     pub heartbeats_blocked_until: Cell<Time>,
-    /// Until when direct commands are delayed; they are executed after that.
+    /// Until then direct commands are delayed; they are executed afterwards.
     pub commands_held_until: Cell<Time>,
-    /// All heartbeats that it sent.
+    /// All heartbeats sent, including lost ones.
     pub sent_heartbeats: RefCell<Vec<Heartbeat>>,
-    /// Until when its heartbeats are delayed.
+    /// Until then heartbeats are delayed; they arrive afterwards.
     pub heartbeats_held_until: Cell<Time>,
 }
 
 impl Worker {
-    /// The tasks on it, as long as it has its lease: one that hangs for longer finds its lease expired before it does
-    /// anything else, and may not continue with its tasks.
+    /// The tasks that haven't exited, or none if the lease expired: a worker that hangs beyond its lease notices the
+    /// expiry before it does anything else, and stops its tasks.
     pub fn running_tasks(&self) -> Vec<TaskStatus> {
-        if self.gone.get() || !self.has_lease() {
+        if self.removed.get() || !self.has_lease() {
             return Vec::new();
         }
         let fake = self.fake.borrow();
         let tasks = fake.heartbeat.tasks.iter();
         tasks
-            .filter(|t| t.state != TaskState::Exited)
+            .filter(|status| status.state != TaskState::Exited)
             .cloned()
             .collect()
     }
 
-    /// Completed tasks that it has not been told to forget yet.
-    pub(super) fn exited_done(&self) -> Vec<TaskStatus> {
-        if self.gone.get() || !self.has_lease() {
+    /// Completed tasks for which the worker hasn't received a forget command yet.
+    pub(super) fn completed_tasks(&self) -> Vec<TaskStatus> {
+        if self.removed.get() || !self.has_lease() {
             return Vec::new();
         }
         let fake = self.fake.borrow();
         let tasks = fake.heartbeat.tasks.iter();
         tasks
-            .filter(|t| t.state == TaskState::Exited && t.exit_reason == Some(ExitReason::Done))
+            .filter(|status| {
+                status.state == TaskState::Exited && status.exit_reason == Some(ExitReason::Done)
+            })
             .cloned()
             .collect()
     }
@@ -83,16 +94,17 @@
         self.runtime.now() - self.lease_from.get() <= self.lease_s
     }
 
+    /// The tasks of a job that are on the machine and haven't exited.
     pub fn tasks_of(&self, id: &str) -> Vec<TaskStatus> {
-        let mut live = self.running_tasks();
-        live.retain(|t| parse_task_name(&t.task).is_some_and(|(job, _)| job == id));
-        live
+        let mut job_tasks = self.running_tasks();
+        job_tasks.retain(|status| parse_task_name(&status.task).is_some_and(|(job, _)| job == id));
+        job_tasks
     }
 
-    /// Its lease and faults, for reports of violations.
+    /// Describes the lease and the injected faults, for reports of violations.
     pub fn describe(&self) -> String {
         format!(
-            "lease from {:.1}, hangs until {:.1}, deaf {:.1}, mute {:.1}",
+            "lease from {:.1}, hangs until {:.1}, replies lost until {:.1}, heartbeats blocked until {:.1}",
             self.lease_from.get(),
             self.hung_until.get(),
             self.replies_lost_until.get(),
@@ -100,11 +112,12 @@
         )
     }
 
+    /// Returns whether the lease ever expired: the worker starts a new agent epoch each time.
     pub fn has_lost_a_lease(&self) -> bool {
         self.fake.borrow().heartbeat.agent_epoch > 1
     }
 
-    /// Its tasks changed: it sends a heartbeat soon.
+    /// Schedules a heartbeat within `CHANGE_DELAY_S`, because the tasks or the fencing token changed.
     pub(super) fn schedule_heartbeat(&self, now: Time) {
         self.heartbeat_at
             .set(self.heartbeat_at.get().min(now + CHANGE_DELAY_S));
@@ -116,17 +129,18 @@
 }
 
 impl World {
-    /// Adds a machine that is up.
+    /// Adds a machine that has booted.
     pub fn boot(self: &Rc<Self>, zone: &str) -> Rc<Worker> {
         self.boot_after(zone, 0.0)
     }
 
+    /// Adds a machine that boots for `boot_s` seconds.
     pub(super) fn boot_after(self: &Rc<Self>, zone: &str, boot_s: f64) -> Rc<Worker> {
         let number = self.checks.next_machine();
         let name = format!("i-{number:03}");
         let mut fake = FakeWorker::new(&name, "small", zone);
-        let at = addr(number as u8, 9000);
-        fake.heartbeat.addr = at.to_string();
+        let address = host_address(number as u8, 9000);
+        fake.heartbeat.addr = address.to_string();
         let now = self.now();
         let worker = Rc::new(Worker {
             runtime: self.runtime.clone(),
@@ -137,9 +151,9 @@
             node: Cell::new(number % NODES),
             lease_from: Cell::new(now + boot_s),
             heartbeat_at: Cell::new(now + boot_s),
-            ends: RefCell::default(),
+            completion_times: RefCell::default(),
             up_at: now + boot_s,
-            gone: Cell::new(false),
+            removed: Cell::new(false),
             hung_until: Cell::new(0.0),
             replies_lost_until: Cell::new(0.0),
             heartbeats_blocked_until: Cell::new(0.0),
@@ -148,74 +162,76 @@
             heartbeats_held_until: Cell::new(0.0),
         });
         self.workers.borrow_mut().insert(name, worker.clone());
-        let (world, target) = (self.clone(), worker.clone());
+        let (world, serving_worker) = (self.clone(), worker.clone());
         let handler = Rc::new(move |request: Request| {
-            let (world, worker) = (world.clone(), target.clone());
+            let (world, worker) = (world.clone(), serving_worker.clone());
             Box::pin(async move { world.receive_direct_commands(&worker, &request).await }) as _
         });
-        self.serve(at, handler);
+        self.serve(address, handler);
         self.services.spawn(self.clone().run_tasks(worker.clone()));
         self.services
             .spawn(self.clone().send_heartbeats(worker.clone()));
         worker
     }
 
-    /// Removes a machine with everything on it; returns whether it existed.
+    /// Removes a machine and all tasks on it. Returns whether the machine existed.
     pub fn remove(&self, name: &str) -> bool {
-        let gone = self.workers.borrow_mut().remove(name);
-        gone.inspect(|worker| worker.gone.set(true)).is_some()
+        let worker = self.workers.borrow_mut().remove(name);
+        worker.inspect(|worker| worker.removed.set(true)).is_some()
     }
 
-    /// Checks the lease and runs the tasks.
+    /// Starts a new agent epoch after the lease has expired, and completes tasks at the end of their run time.
     async fn run_tasks(self: Rc<Self>, worker: Rc<Worker>) {
-        while !worker.gone.get() {
+        while !worker.removed.get() {
             self.runtime.sleep(TICK_S).await;
             let now = self.now();
             if worker.hangs(now) || now < worker.up_at {
                 continue;
             }
-            self.keep_lease(&worker);
+            self.check_lease(&worker);
             let mut fake = worker.fake.borrow_mut();
-            for t in &mut fake.heartbeat.tasks {
-                let key = (t.task.clone(), t.attempt);
-                let over = worker
-                    .ends
+            for status in &mut fake.heartbeat.tasks {
+                let key = (status.task.clone(), status.attempt);
+                let has_completed = worker
+                    .completion_times
                     .borrow()
                     .get(&key)
-                    .is_some_and(|end| *end <= now);
-                if t.state == TaskState::Running && over {
-                    t.state = TaskState::Exited;
-                    t.exit_reason = Some(ExitReason::Done);
-                    self.checks.on_task_completed(&t.task);
+                    .is_some_and(|completion_time| *completion_time <= now);
+                if status.state == TaskState::Running && has_completed {
+                    status.state = TaskState::Exited;
+                    status.exit_reason = Some(ExitReason::Done);
+                    self.checks.on_task_completed(&status.task);
                     worker.schedule_heartbeat(now);
                 }
             }
         }
     }
 
-    fn keep_lease(&self, worker: &Worker) {
+    /// If the lease has expired, drops all tasks and starts a new agent epoch.
+    fn check_lease(&self, worker: &Worker) {
         let now = self.now();
         if !worker.has_lease() {
             let mut fake = worker.fake.borrow_mut();
             fake.heartbeat.agent_epoch += 1;
             fake.heartbeat.tasks.clear();
-            worker.ends.borrow_mut().clear();
+            worker.completion_times.borrow_mut().clear();
             worker.lease_from.set(now);
             worker.heartbeat_at.set(now);
         }
     }
 
+    /// Sends heartbeats until the machine is removed. After a failure, the worker tries the next controller.
     async fn send_heartbeats(self: Rc<Self>, worker: Rc<Worker>) {
         loop {
             let now = self.now();
-            if worker.gone.get() {
+            if worker.removed.get() {
                 return;
             }
             if worker.hangs(now) || now < worker.heartbeat_at.get() {
                 self.runtime.sleep(TICK_S / 5.0).await;
                 continue;
             }
-            self.keep_lease(&worker);
+            self.check_lease(&worker);
             let heartbeat_interval_s = self.config.deployment.workers.heartbeat_interval_s;
             worker.heartbeat_at.set(now + heartbeat_interval_s);
             let heartbeat = worker.fake.borrow_mut().next();
@@ -241,14 +257,15 @@
                 worker.heartbeat_at.set(self.now() + RETRY_S);
                 continue;
             }
-            let answer = self.deliver_heartbeat(node, &heartbeat).await;
-            let lost = self.now() < worker.replies_lost_until.get() || worker.hangs(self.now());
-            if lost {
+            let reply = self.deliver_heartbeat(node, &heartbeat).await;
+            let reply_lost =
+                self.now() < worker.replies_lost_until.get() || worker.hangs(self.now());
+            if reply_lost {
                 self.runtime
                     .sleep((now + REPLY_TIMEOUT_S - self.now()).max(0.0))
                     .await;
             }
-            match answer.filter(|_| !lost) {
+            match reply.filter(|_| !reply_lost) {
                 Some((200, body)) => self.receive_reply(&worker, &heartbeat, now, &body),
                 Some((421, body)) => {
                     let named: serde_json::Value = serde_json::from_slice(&body).unwrap();
@@ -268,7 +285,7 @@
         }
     }
 
-    /// Delivers a heartbeat to a controller; returns its reply.
+    /// Delivers a heartbeat to a controller. Returns the status and body of the reply, or None if there was none.
     pub async fn deliver_heartbeat(
         &self,
         node: usize,
@@ -280,7 +297,15 @@
         call.await.ok()
     }
 
-    fn receive_reply(&self, worker: &Rc<Worker>, heartbeat: &Heartbeat, sent: Time, body: &[u8]) {
+    /// Renews the lease from the time at which the heartbeat was sent, and executes the commands of the reply. Ignores
+    /// a reply to an earlier agent epoch or from a deposed leader.
+    fn receive_reply(
+        &self,
+        worker: &Rc<Worker>,
+        heartbeat: &Heartbeat,
+        sent_at: Time,
+        body: &[u8],
+    ) {
         let reply: HeartbeatReply = serde_json::from_slice(body).unwrap();
         let (agent_epoch, fencing_token) = {
             let fake = worker.fake.borrow();
@@ -288,17 +313,19 @@
         };
         if agent_epoch != heartbeat.agent_epoch
             || reply.fencing_token < fencing_token
-            || worker.gone.get()
+            || worker.removed.get()
         {
             return;
         }
-        worker.lease_from.set(worker.lease_from.get().max(sent));
+        worker.lease_from.set(worker.lease_from.get().max(sent_at));
         if reply.fencing_token > fencing_token {
             worker.schedule_heartbeat(self.now());
         }
         self.execute(worker, reply.fencing_token, &reply.commands);
     }
 
+    /// Answers a request with direct commands, and injects the faults that affect it. Rejects commands of a deposed
+    /// leader and those for another agent epoch.
     async fn receive_direct_commands(&self, worker: &Rc<Worker>, request: &Request) -> Response {
         #[derive(serde::Deserialize)]
         struct RequestBody {
@@ -309,21 +336,21 @@
             #[serde(rename = "Orders")]
             commands: Vec<Command>,
         }
-        let asked: RequestBody = serde_json::from_slice(&request.body).unwrap();
+        let command_request: RequestBody = serde_json::from_slice(&request.body).unwrap();
         if self.now() < worker.replies_lost_until.get() {
             self.runtime.sleep(REPLY_TIMEOUT_S * 10.0).await;
-            return Response::error(503, "lost");
+            return Response::error(503, "request lost");
         }
         let sender = self
             .state
             .leaders
             .borrow()
-            .get(&asked.fencing_token)
+            .get(&command_request.fencing_token)
             .copied();
         loop {
             let now = self.now();
-            let cut = sender.is_some_and(|node| self.is_partitioned(&worker.zone, node));
-            if !(cut
+            let partitioned = sender.is_some_and(|node| self.is_partitioned(&worker.zone, node));
+            if !(partitioned
                 || worker.hangs(now)
                 || now < worker.commands_held_until.get()
                 || now < worker.up_at)
@@ -332,22 +359,29 @@
             }
             self.runtime.sleep(TICK_S).await;
         }
-        if worker.gone.get() {
-            return Response::error(503, "gone");
+        if worker.removed.get() {
+            return Response::error(503, "machine removed");
         }
-        self.keep_lease(worker);
+        self.check_lease(worker);
         {
             let mut fake = worker.fake.borrow_mut();
-            let r = &mut fake.heartbeat;
-            r.sequence += 1;
-            if asked.fencing_token < r.fencing_token || asked.agent_epoch != r.agent_epoch {
-                return Response::json(409, &*r);
+            let heartbeat = &mut fake.heartbeat;
+            heartbeat.sequence += 1;
+            if command_request.fencing_token < heartbeat.fencing_token
+                || command_request.agent_epoch != heartbeat.agent_epoch
+            {
+                return Response::json(409, &*heartbeat);
             }
         }
-        self.execute(worker, asked.fencing_token, &asked.commands);
+        self.execute(
+            worker,
+            command_request.fencing_token,
+            &command_request.commands,
+        );
         Response::json(200, &worker.fake.borrow().heartbeat)
     }
 
+    /// Executes commands, and plans the run of each task that starts.
     fn execute(&self, worker: &Rc<Worker>, fencing_token: u64, commands: &[Command]) {
         for command in commands {
             let before = worker.running_tasks().len();
@@ -359,12 +393,12 @@
                 && worker.running_tasks().len() > before
             {
                 if self.checks.spec(task).kind == JobKind::Gang {
-                    self.gangs.wait_for_others(worker, task, *attempt);
+                    self.gangs.wait_for_peers(worker, task, *attempt);
                 } else {
                     let key = (task.clone(), *attempt);
                     let run_time_s = self.checks.run_time_s(task);
                     worker
-                        .ends
+                        .completion_times
                         .borrow_mut()
                         .insert(key, self.now() + run_time_s);
                 }
