--- a/src/controller/tests/world.rs
+++ b/src/controller/tests/world.rs
@@ -32,6 +32,7 @@
 pub const NODES: usize = ZONES.len();
 /// Seconds between two steps of tasks, gangs and checks.
 const TICK_S: f64 = 0.25;
+/// Limits of the stand-ins' HTTP servers.
 const LIMITS: ServerLimits = ServerLimits {
     connections: 400,
     request_s: 5.0,
--- a/src/controller/tests/world/checks.rs
+++ b/src/controller/tests/world/checks.rs
@@ -127,7 +127,7 @@
 
     /// The run time of a task. The first task of a job runs for exactly the estimated time.
     pub fn run_time_s(&self, task: &str) -> f64 {
-        // Workers keep the result of a completed task, so a repeated attempt completes at once.
+        // The result of a completed task is kept, so a later attempt completes at once, on any machine.
         if self.completed_tasks.borrow().contains(task) {
             return 0.0;
         }
@@ -205,8 +205,9 @@
     }
 
     /// Checks that a task may start on a machine: no other machine runs it (`ran_twice`), the machine meets the job's
-    /// constraints (`wrong_place`), all dependencies are complete (`too_early`), the job isn't cancelled
-    /// (`ran_cancelled`) and its team stays within its limit (`quota`).
+    /// constraints (`wrong_place`), all dependencies are complete and none was reported as cancelled (`too_early`), the
+    /// job wasn't reported as cancelled more than `cancel_s` ago (`ran_cancelled`) and its team stays within its limit
+    /// (`quota`).
     pub fn on_task_started(
         &self,
         now: Time,
@@ -300,8 +301,8 @@
         }
     }
 
-    /// Checks that no job is pending for long while its dependencies are done, a suitable machine has enough free
-    /// capacity and its team is below its limit.
+    /// Checks that no job is pending for more than `STARVATION_S` while its dependencies are done, suitable machines
+    /// have enough free capacity (for a gang, for all its tasks at once) and its team is below its limit.
     fn check_starvation(&self, now: Time, workers: &BTreeMap<String, Rc<Worker>>) {
         let used_cpus = self.used_cpus(workers);
         let free_cpus: Vec<(&str, f64)> = workers
--- a/src/controller/tests/world/cloud.rs
+++ b/src/controller/tests/world/cloud.rs
@@ -27,7 +27,7 @@
     pub room: Cell<u32>,
     /// Until then the cloud rejects all requests.
     pub outage_until: Cell<Time>,
-    /// Names of the machines rented by each request, so that a repeated request rents no more of them.
+    /// Names of the machines rented by each request, so that a repeated request rents no further machines.
     rented: RefCell<BTreeMap<String, Vec<String>>>,
 }
 
@@ -43,7 +43,7 @@
 
     fn answer_cloud(self: &Rc<Self>, request: &Request) -> Response {
         if self.now() < self.cloud.outage_until.get() {
-            return Response::error(503, "service unavailable");
+            return Response::error(503, "trouble");
         }
         let (path, _) = request.path.split_once('?').unwrap_or((&request.path, ""));
         if path == paths::MACHINE_TYPES {
--- a/src/controller/tests/world/gangs.rs
+++ b/src/controller/tests/world/gangs.rs
@@ -21,7 +21,7 @@
     started_at: Option<Time>,
     /// When the first task arrived on a machine.
     waiting_since: Option<Time>,
-    /// Since when a task has been missing, after the start.
+    /// Since when, after the start, a task has been missing or on a worker that hangs.
     broken_at: Option<Time>,
 }
 
@@ -102,7 +102,8 @@
     }
 
     /// Advances one attempt. It starts once all its tasks wait on workers that don't hang, and gives up after
-    /// `gang_wait_s`. If a task is missing for half of `gang_peer_s` after the start, the others exit.
+    /// `gang_wait_s`. If, after the start, a task is missing or its worker hangs for half of `gang_peer_s`, the
+    /// others exit.
     fn step_gang(&self, attempt: &Attempt, progress: &mut Progress, members: &[Member]) {
         let now = self.now();
         let worker_settings = &self.config.deployment.workers;
--- a/src/controller/tests/world/production_view.rs
+++ b/src/controller/tests/world/production_view.rs
@@ -37,6 +37,7 @@
     let Ok(mut body) = serde_json::from_slice::<serde_json::Value>(&reply.body) else {
         return reply;
     };
+    // Returns whether the production version knows the item, and so keeps it.
     let strip_item = |item: &mut serde_json::Value| {
         let key = item["K"].as_str().or(item["Put"].as_str());
         let Some(key) = key.map(str::to_owned) else {
--- a/src/controller/tests/world/state.rs
+++ b/src/controller/tests/world/state.rs
@@ -24,7 +24,7 @@
 const PORT: u16 = 2379;
 /// Seconds by which a withheld reply is delayed: longer than any client waits.
 const NO_REPLY_S: f64 = 600.0;
-/// Longest time, in seconds, after which a transaction without a reply is applied.
+/// Seconds after which a late transaction is applied, see `ControllerLink::late_writes`.
 pub const LATE_WRITE_S: f64 = 6.0;
 
 /// The address at which a controller reaches the service.
@@ -87,7 +87,7 @@
     changed: Notify,
     /// The node elected with each fencing token.
     pub leaders: RefCell<BTreeMap<u64, usize>>,
-    /// All transactions received that change keys.
+    /// All transactions received that change keys and are within the service's limits.
     received_txns: RefCell<Vec<Rc<Txn>>>,
 }
 
@@ -105,7 +105,7 @@
     #[serde(rename = "K")]
     key: String,
     #[serde(rename = "Stamp")]
-    version: u64,
+    revision: u64,
 }
 
 #[derive(Deserialize)]
@@ -125,7 +125,7 @@
     fn into_txn(self) -> Option<Txn> {
         let conditions = self.conditions.into_iter().map(|condition| Condition {
             key: condition.key,
-            revision: condition.version,
+            revision: condition.revision,
         });
         let changes = self
             .changes
@@ -325,7 +325,7 @@
             self.runtime.sleep(link.slow_s.get()).await;
         }
         if self.refuses(node) {
-            return Response::error(503, "service unavailable");
+            return Response::error(503, "trouble");
         }
         let path = request.path.as_str();
         if path.starts_with(paths::WATCH) {
--- a/src/controller/tests/world/users.rs
+++ b/src/controller/tests/world/users.rs
@@ -14,9 +14,9 @@
 const SUBMIT_TIMEOUT_S: f64 = 5.0;
 const QUERY_TIMEOUT_S: f64 = 2.0;
 const BODY_MAX: usize = 64 * 1024;
-/// Seconds from the completion of a job's last task until users must see the job as done.
+/// Seconds from the time at which a test finds all tasks of a job complete until users must see the job as done.
 const DONE_DELAY_S: f64 = 3.0;
-/// A job counts as forgotten when no query of it has been answered for this many seconds.
+/// A job counts as forgotten when no reply to a query has shown it for this many seconds.
 const FORGOTTEN_S: f64 = 75.0;
 
 #[derive(Deserialize)]
@@ -182,17 +182,17 @@
     pub async fn wait_for_all_jobs(self: &Rc<Self>, limit_s: f64) {
         let started_at = self.now();
         self.checks.faults_end_at.set(started_at);
-        let unfinished_jobs = || -> Vec<String> {
+        let jobs_not_ended = || -> Vec<String> {
             let jobs = self.checks.jobs.borrow();
-            let unfinished = jobs
+            let not_ended = jobs
                 .iter()
                 .filter(|(_, known)| known.accepted.is_some() && known.final_state.is_none());
-            unfinished.map(|(id, _)| id.clone()).collect()
+            not_ended.map(|(id, _)| id.clone()).collect()
         };
         let mut answered_at: std::collections::BTreeMap<String, f64> = Default::default();
         let mut query_count = 0;
         loop {
-            let ids = unfinished_jobs();
+            let ids = jobs_not_ended();
             if ids.is_empty() {
                 break;
             }
@@ -222,7 +222,7 @@
                 };
                 if complete && reply.1.is_some() && !any_lease_lost(self) {
                     // The job must be shown as done shortly after its last task completed. This isn't checked once a
-                    // worker's lease has expired: no controller may have learned of the completion in time.
+                    // worker's lease has expired, since then the completion may not have reached a controller in time.
                     self.run(DONE_DELAY_S).await;
                     let reply = self.query(query_count % NODES, &id).await;
                     if reply.1.is_some() && self.checks.jobs.borrow()[&id].final_state.is_none() {
@@ -233,7 +233,8 @@
             }
             self.run(2.0).await;
         }
-        // No task of an ended job may be left on a machine: `Checks::check_all` looks for those of cancelled jobs.
+        // Waits until `cancel_s` has passed since the last reply, so that `Checks::check_all` reports each task of a
+        // cancelled job that is still on a machine. It doesn't look at tasks of jobs that are done.
         self.run(self.config.deployment.workers.cancel_s + 5.0)
             .await;
     }
--- a/src/controller/tests/world/workers.rs
+++ b/src/controller/tests/world/workers.rs
@@ -18,6 +18,7 @@
 /// Seconds that a worker waits for the reply to a heartbeat.
 const REPLY_TIMEOUT_S: f64 = 4.0;
 const RETRY_S: f64 = 1.0;
+/// Longest delay, in seconds, of the heartbeat that follows a change of the tasks or of the fencing token.
 pub(super) const CHANGE_DELAY_S: f64 = 0.5;
 /// Largest reply, in bytes, that a worker reads.
 const BODY_MAX: usize = 1024 * 1024;
@@ -40,7 +41,6 @@
     pub(super) completion_times: RefCell<BTreeMap<(String, u64), Time>>,
     /// When the machine has booted; until then nothing runs on it.
     up_at: Time,
-    /// The machine was removed.
     removed: Cell<bool>,
     /// Until then the worker hangs: it executes nothing, and incoming messages wait.
     pub hung_until: Cell<Time>,
@@ -57,8 +57,8 @@
 }
 
 impl Worker {
-    /// The tasks that haven't exited, or none if the lease expired: a worker that hangs beyond its lease notices the
-    /// expiry before it does anything else, and stops its tasks.
+    /// The tasks that haven't exited, or none if the machine was removed or the lease expired: a worker that hangs
+    /// beyond its lease notices the expiry before it does anything else, and stops its tasks.
     pub fn running_tasks(&self) -> Vec<TaskStatus> {
         if self.removed.get() || !self.has_lease() {
             return Vec::new();
@@ -268,14 +268,14 @@
             match reply.filter(|_| !reply_lost) {
                 Some((200, body)) => self.receive_reply(&worker, &heartbeat, now, &body),
                 Some((421, body)) => {
-                    let named: serde_json::Value = serde_json::from_slice(&body).unwrap();
-                    let named = named["ReportsTo"]
+                    let redirect: serde_json::Value = serde_json::from_slice(&body).unwrap();
+                    let named_node = redirect["ReportsTo"]
                         .as_str()
                         .and_then(|n| n[1..].parse().ok());
-                    let named = named.filter(|n| *n != node);
-                    worker.node.set(named.unwrap_or(next));
-                    let pause = if named.is_some() { 0.1 } else { RETRY_S };
-                    worker.heartbeat_at.set(self.now() + pause);
+                    let named_node = named_node.filter(|n| *n != node);
+                    worker.node.set(named_node.unwrap_or(next));
+                    let pause_s = if named_node.is_some() { 0.1 } else { RETRY_S };
+                    worker.heartbeat_at.set(self.now() + pause_s);
                 }
                 _ => {
                     worker.node.set(next);
@@ -339,7 +339,7 @@
         let command_request: RequestBody = serde_json::from_slice(&request.body).unwrap();
         if self.now() < worker.replies_lost_until.get() {
             self.runtime.sleep(REPLY_TIMEOUT_S * 10.0).await;
-            return Response::error(503, "request lost");
+            return Response::error(503, "lost");
         }
         let sender = self
             .state
@@ -360,7 +360,7 @@
             self.runtime.sleep(TICK_S).await;
         }
         if worker.removed.get() {
-            return Response::error(503, "machine removed");
+            return Response::error(503, "gone");
         }
         self.check_lease(worker);
         {
